--- a/packages/steering/src/common/limits/admissionError.ts
+++ b/packages/steering/src/common/limits/admissionError.ts
@@ -1,22 +1,22 @@
-/** Refusal for lack of room, with an estimate of when there may be some. */
+/** The error for requests that are rejected because no slot is free, with a retry delay for the caller. */
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 
 const MS_PER_SECOND = 1000
-/** Beyond this an estimate says little; the caller may as well ask again. */
-const LONGEST_SECONDS = 30
+/** Longer wait estimates are too uncertain to delay the caller's retry further. */
+const MAX_RETRY_AFTER_SECONDS = 30
 
-/** A StepError for a request that was refused before any byte left for an upstream. */
+/** A StepError for a request that was rejected before any byte was sent to an upstream. */
 export class AdmissionError extends StepError {
-  /** Whole seconds as `Retry-After` says them, from 1 to 30. */
+  /** Value of the `Retry-After` header in whole seconds, from 1 to 30. */
   readonly retryAfterSeconds: number
 
   /**
    * @param place `service/failure domain`
-   * @param message what was lacking
-   * @param expectedSpanMs estimated milliseconds until there is room
+   * @param message why the request can't be admitted
+   * @param expectedWaitMs estimated time until a slot is free
    */
-  constructor (place: string, message: string, expectedSpanMs: number) {
+  constructor (place: string, message: string, expectedWaitMs: number) {
     super({ code: ErrorCode.Exhausted, step: 'acquire-slot', peer: place, message })
-    this.retryAfterSeconds = Math.min(LONGEST_SECONDS, Math.max(1, Math.ceil(expectedSpanMs / MS_PER_SECOND)))
+    this.retryAfterSeconds = Math.min(MAX_RETRY_AFTER_SECONDS, Math.max(1, Math.ceil(expectedWaitMs / MS_PER_SECOND)))
   }
 }
--- a/packages/steering/src/common/limits/demandMean.ts
+++ b/packages/steering/src/common/limits/demandMean.ts
@@ -1,18 +1,18 @@
-/** The time-weighted mean of how many requests a place holds or has waiting. */
+/** A time-weighted moving average, used for the number of requests that are running or waiting at a place. */
 import type { Instant } from '@umberspar/base/common/clock'
 
-/** What happened so long ago counts for a factor of e less, in milliseconds. */
-const MEMORY_MS = 1000
+/** Time after which a past value has lost all but 1/e of its weight. */
+const TIME_CONSTANT_MS = 1000
 
-/** A running mean of a number that changes in steps. */
+/** The exponentially weighted mean of a value that changes in steps. */
 export class DemandMean {
   private mean = 0
   private current = 0
   private changedAt: Instant = 0
 
   /**
-   * @param value the number from now on
-   * @param now the present
+   * @param value the value from `now` on
+   * @param now the current time
    */
   update (value: number, now: Instant): void {
     this.mean = this.getMean(now)
@@ -21,11 +21,11 @@
   }
 
   /**
-   * @param now the present
-   * @returns the mean up to now
+   * @param now the current time
+   * @returns the mean up to `now`
    */
   getMean (now: Instant): number {
-    const kept = Math.exp(-Math.max(0, now - this.changedAt) / MEMORY_MS)
-    return this.mean * kept + this.current * (1 - kept)
+    const decay = Math.exp(-Math.max(0, now - this.changedAt) / TIME_CONSTANT_MS)
+    return this.mean * decay + this.current * (1 - decay)
   }
 }
--- a/packages/steering/src/common/limits/divideSlots.ts
+++ b/packages/steering/src/common/limits/divideSlots.ts
@@ -1,53 +1,51 @@
-/** How the slots and connections of workers are divided among entry VMs. */
+/** Divides the slots and connections of workers among entry VMs. */
 import { rankByRendezvous } from '../lookup/rendezvous.js'
 
-/** A worker's limits, or one entry VM's part of them. */
+/** The limits of a worker, or one entry VM's share of them. */
 export interface SlotShare {
-  /** Requests at a time. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number
-  /** Connections at a time. */
+  /** Maximum number of concurrent connections. */
   readonly connections: number
 }
 
-/** What is divided, and among whom. */
+/** Input of {@link divideSlots}. */
 export interface SlotDivision {
   readonly service: string
-  /** By worker id. */
+  /** Limits to divide, by worker id. */
   readonly workers: Readonly<Record<string, SlotShare>>
-  /** Node ids of the service's entry VMs in the workers' region, in any order, each once. */
+  /** Node ids of the service's entry VMs in the workers' region, in any order, without duplicates. */
   readonly entries: readonly string[]
-  /** The entry VM whose part is wanted. */
+  /** The entry VM whose share is computed. */
   readonly selfId: string
 }
 
-/**
- * Divides one whole number: everybody gets the same, and what is left goes one
- * by one to the first in rank.
- */
-function computePart (total: number, rank: number, entryCount: number): number {
+/** Divides `total` evenly; the entry VMs of the lowest ranks get one more each until the remainder is used up. */
+function computeShare (total: number, rank: number, entryCount: number): number {
   const base = Math.floor(total / entryCount)
   return rank < total % entryCount ? base + 1 : base
 }
 
 /**
- * Computes one entry VM's part of every worker. The parts of all entries sum to
- * exactly the worker's limits. Each worker is divided by a rank of its own, so a
- * change to one worker moves no part of another: entry VMs that for a moment
- * hold different configurations still agree on every worker that both have.
- * @param division what is divided, and among whom
- * @returns the part by worker id; zero throughout if `selfId` is no entry
+ * Computes one entry VM's share of every worker. The shares of all entry VMs add
+ * up to exactly the worker's limits. Entry VMs are ranked for each worker
+ * separately, so a change to one worker leaves the shares of the others as they
+ * are: entry VMs that temporarily hold different configurations still agree on
+ * every worker that both configurations contain.
+ * @param division the limits and the entry VMs
+ * @returns the share by worker id; all zero if `selfId` is not among the entries
  */
 export function divideSlots (division: SlotDivision): Map<string, SlotShare> {
   const { service, workers, entries, selfId } = division
-  const parts = new Map<string, SlotShare>()
+  const shares = new Map<string, SlotShare>()
   for (const [workerId, worker] of Object.entries(workers)) {
     const rank = rankByRendezvous(`${service}/${workerId}`, entries).indexOf(selfId)
-    parts.set(workerId, rank < 0
+    shares.set(workerId, rank < 0
       ? { slots: 0, connections: 0 }
       : {
-          slots: computePart(worker.slots, rank, entries.length),
-          connections: computePart(worker.connections, rank, entries.length)
+          slots: computeShare(worker.slots, rank, entries.length),
+          connections: computeShare(worker.connections, rank, entries.length)
         })
   }
-  return parts
+  return shares
 }
--- a/packages/steering/src/common/limits/divisionView.ts
+++ b/packages/steering/src/common/limits/divisionView.ts
@@ -1,4 +1,4 @@
-/** One state of the world by which limits are divided: a configuration and a roster. */
+/** A division view: the shares of all limits that follow from one configuration and one roster of entry VMs. */
 import type { SteeringConfiguration } from '../configuration/configurationSchema.js'
 import { computeHash64 } from '../hash/xxHash.js'
 import { type EntryCandidate, listServiceEntries } from '../lookup/decideLookup.js'
@@ -6,43 +6,45 @@
 import { computeDividedConnections } from './probeConnections.js'
 import { buildPlaceKey, buildSlotKey } from './slotKey.js'
 
-/** What a view is made from. */
+/** Input of {@link buildDivisionView}. */
 export interface DivisionInput {
   readonly selfId: string
-  /** Limits of other regions' places are never this node's own. */
+  /** This node's region; it has no share of the limits of places in other regions. */
   readonly region: string
   readonly configuration: SteeringConfiguration
   readonly configurationVersion: number
-  /** Of the configuration's body. */
+  /** Digest of the configuration's body. */
   readonly configurationDigest: string
   readonly listVersion: number
   readonly members: readonly EntryCandidate[]
 }
 
-/** A view and this node's parts under it. */
+/** This node's shares for one configuration and one roster. */
 export interface DivisionView {
-  /** Equal at two nodes only if both hold the same configuration and roster. */
+  /** Hash of the configuration and the roster; two nodes have the same one only if they hold the same of both. */
   readonly stamp: string
   readonly listVersion: number
   /** Node ids of the roster. */
   readonly members: readonly string[]
-  /** This node's part by slot key; what is missing is zero. */
-  readonly parts: ReadonlyMap<string, SlotShare>
-  /** This node's part of a place's own limit by place key; Infinity where the operators set none. */
-  readonly placeParts: ReadonlyMap<string, number>
+  /** This node's share by slot key; zero for a missing key. */
+  readonly shares: ReadonlyMap<string, SlotShare>
+  /** This node's share of a place's concurrency limit, by place key; Infinity if the configuration sets no limit. */
+  readonly placeShares: ReadonlyMap<string, number>
 }
 
-/** The place's own limit is divided like a worker with this id, which no worker can have. */
+/** The place's concurrency limit is divided like a worker with this id, which no worker can have. */
 const PLACE_LIMIT_ID = '*'
+/** A place has no connection limit, so this part of its share is never read. */
 const PLACE_CONNECTIONS = 0
 
 /**
+ * Divides the limits of all workers and places in the node's region.
  * @param input a configuration and a roster
- * @returns the view
+ * @returns the division view of this node
  */
 export function buildDivisionView (input: DivisionInput): DivisionView {
-  const parts = new Map<string, SlotShare>()
-  const placeParts = new Map<string, number>()
+  const shares = new Map<string, SlotShare>()
+  const placeShares = new Map<string, number>()
   const domains = new Set(input.configuration.regions[input.region]?.failureDomains ?? [])
   for (const [service, { places }] of Object.entries(input.configuration.services)) {
     const entries = listServiceEntries(service, input.region, input.members, input.configuration.entriesPerRegion)
@@ -53,17 +55,17 @@
         [workerId, { slots, connections: computeDividedConnections(connections) }]))
       for (const [workerId, share] of divideSlots({ ...division, workers })) {
         const address = place.workers[workerId]?.address ?? ''
-        parts.set(buildSlotKey(service, failureDomain, workerId, address), share)
+        shares.set(buildSlotKey(service, failureDomain, workerId, address), share)
       }
       const limit = { [PLACE_LIMIT_ID]: { slots: place.maxConcurrency ?? 0, connections: PLACE_CONNECTIONS } }
-      const part = divideSlots({ ...division, service: buildPlaceKey(service, failureDomain), workers: limit }).get(PLACE_LIMIT_ID)
-      placeParts.set(buildPlaceKey(service, failureDomain), place.maxConcurrency === undefined ? Infinity : part?.slots ?? 0)
+      const placeShare = divideSlots({ ...division, service: buildPlaceKey(service, failureDomain), workers: limit }).get(PLACE_LIMIT_ID)
+      placeShares.set(buildPlaceKey(service, failureDomain), place.maxConcurrency === undefined ? Infinity : placeShare?.slots ?? 0)
     }
   }
-  return { stamp: buildStamp(input), listVersion: input.listVersion, members: input.members.map(({ nodeId }) => nodeId), parts, placeParts }
+  return { stamp: computeFingerprint(input), listVersion: input.listVersion, members: input.members.map(({ nodeId }) => nodeId), shares, placeShares }
 }
 
-function buildStamp (input: DivisionInput): string {
+function computeFingerprint (input: DivisionInput): string {
   const members = input.members.map(({ nodeId, failureDomain }) => [nodeId, failureDomain])
   return computeHash64(JSON.stringify([input.configurationVersion, input.configurationDigest, input.listVersion, members]))
 }
--- a/packages/steering/src/common/limits/loans.ts
+++ b/packages/steering/src/common/limits/loans.ts
@@ -1,42 +1,44 @@
-/** Loans of slots between entry VMs, on either side. */
+/** Loans of slots and connections between entry VMs, as lender and borrower record them. */
 import type { Deadline } from '@umberspar/base/common/deadline'
 import type { SlotShare } from './divideSlots.js'
 
-/** The longest loan, in milliseconds; a node that starts waits so long for loans of the process before it. */
+/** Maximum duration of a loan; a starting node waits this long for loans that its previous process granted. */
 export const LONGEST_LOAN_SPAN_MS = 60_000
 /**
- * Two machines' clocks run at rates that differ by far less. The borrower counts
- * its loan shorter by this part, so that a fast lender does not end it first.
+ * Fraction by which a borrower shortens a loan, so that it ends there before it
+ * ends on the lender's clock even if that clock runs faster. Real clock rates
+ * differ by far less.
  */
 export const CLOCK_RATE_MARGIN = 0.001
 
-/** A loan as the lender keeps it. */
+/** A loan as recorded by the lender. */
 export interface LentLoan extends SlotShare {
   readonly borrowerId: string
   readonly slotKey: string
-  /** On the lender's clock; the slots are its own again from here on. */
+  /** On the lender's clock; from then on the lender may use the slots itself. */
   readonly deadline: Deadline
-  /** A returned loan is remembered until its deadline, so that a late copy of its request is not granted again. */
+  /** A returned loan is kept until its deadline, so that a delayed duplicate of its request is not granted again. */
   isReturned: boolean
 }
 
-/** A loan as the borrower keeps it. */
+/** A loan as recorded by the borrower. */
 export interface BorrowedLoan extends SlotShare {
   readonly loanId: string
-  /** `host:port` of the lender's peers' listener. */
+  /** `host:port` at which the lender listens for peers. */
   readonly lender: string
   readonly lenderId: string
   readonly slotKey: string
-  /** On the borrower's clock; requests on the loan must have ended by then. */
+  /** On the borrower's clock; requests that use the loan must have ended by then. */
   readonly deadline: Deadline
+  /** Number of slots in use. */
   inUse: number
-  /** Nothing starts on it any more; it goes back when the last request on it has ended. */
+  /** No new request may use the loan; it is returned when its last request has ended. */
   isClosing: boolean
 }
 
-/** Where a request runs: on an own slot or on a loan's. */
+/** The slot that a request uses: one of the node's own share or a borrowed one. */
 export interface TakenSlot {
   readonly slotKey: string
-  /** Undefined for an own slot. */
+  /** Undefined for a slot of the node's own share. */
   readonly loan: BorrowedLoan | undefined
 }
--- a/packages/steering/src/common/limits/partKeeper.ts
+++ b/packages/steering/src/common/limits/partKeeper.ts
@@ -1,169 +1,175 @@
 /**
- * Moves this node's parts from one division to the next without overcommitment.
+ * Moves a node from one division view to the next without exceeding any limit.
  *
- * A node is bound by every view since the last one that all had acknowledged:
- * its part is the least of its parts under all of them. It acknowledges a view
- * once its use fits the view, and lets go of older views once every member of
- * them has acknowledged the newer. So at any instant there is one view by which
- * all nodes are bound, and the sum of parts under one view never exceeds the
- * limit. Views are ordered (configuration version, list version, hold) and no
- * node goes back, so two nodes can't let go of each other's view.
+ * Every view since the last one that all members acknowledged is active: the
+ * node's share is the smallest of its shares under all active views. A node
+ * acknowledges a view once its usage fits into it, and drops older views once
+ * every member of them has acknowledged the newer one. So at any time there is
+ * one view that is active at all nodes, and the shares under one view never add
+ * up to more than the limit. Views are ordered (by configuration version, list
+ * version and grace periods that have passed) and no node returns to an older
+ * one, so two nodes can't each drop a view that the other still relies on.
  */
 import type { SlotShare } from './divideSlots.js'
 import type { DivisionView } from './divisionView.js'
 
-/** How many of a peer's latest stamps are remembered; a peer may be some views ahead. */
-const REMEMBERED_STAMPS = 8
-const NOTHING: SlotShare = { slots: 0, connections: 0 }
+/** Several are kept, as a peer may be a few views ahead of this node. */
+const MAX_FINGERPRINTS_PER_PEER = 8
+const EMPTY_SHARE: SlotShare = { slots: 0, connections: 0 }
 
-/** A node that just started has no part until all others know of it. */
-const EMPTY_VIEW: DivisionView = { stamp: '', listVersion: -1, members: [], parts: new Map(), placeParts: new Map() }
+/** The first active view of a node: it has no share until all other members have acknowledged a view that contains it. */
+const EMPTY_VIEW: DivisionView = { stamp: '', listVersion: -1, members: [], shares: new Map(), placeShares: new Map() }
 
-/** What a node uses: slots by slot key (lent ones included) and the use of places by place key. */
+/** How much of its limits a node uses. */
 export interface LimitUse {
+  /** Slots in use or lent, by slot key. */
   readonly slots: ReadonlyMap<string, number>
+  /** The same by place key, for all workers of the place together. */
   readonly places: ReadonlyMap<string, number>
 }
 
-/** One process of a peer. */
+/** A process of a peer. */
 export interface PeerProcess {
   readonly nodeId: string
-  /** Grows with every start. */
+  /** Increases with every start of the node. */
   readonly incarnation: number
 }
 
 interface Acknowledgements {
   readonly incarnation: number
-  /** The latest last. */
-  stamps: readonly string[]
+  /** Fingerprints of acknowledged views, the latest last. */
+  fingerprints: readonly string[]
 }
 
-/** The views that bind this node, and what peers have acknowledged. */
+/** Tracks the active division views of this node and the acknowledgements of its peers. */
 export class PartKeeper {
-  /** The oldest first. */
+  /** The active views, the oldest first. */
   private views: DivisionView[] = [EMPTY_VIEW]
-  private readonly acknowledged = new Map<string, Acknowledgements>()
+  private readonly acknowledgementsByPeer = new Map<string, Acknowledgements>()
 
-  /** @param selfId this node */
+  /** @param selfId id of this node */
   constructor (private readonly selfId: string) {}
 
-  /** @returns the newest view, undefined before the first */
+  /** @returns the newest view; undefined before the first */
   get newest (): DivisionView | undefined {
     const view = this.views.at(-1)
     return view === EMPTY_VIEW ? undefined : view
   }
 
-  /** @returns whether one view alone binds this node */
+  /** @returns whether exactly one view is active */
   get isSettled (): boolean {
     return this.views.length === 1 && this.views[0] !== EMPTY_VIEW
   }
 
-  /** @returns the stamps of the views that bind this node, the oldest first; empty for the time before the first */
-  get boundStamps (): string[] {
+  /** @returns the fingerprints of the active views, the oldest first; an empty string stands for the initial view without shares */
+  get activeFingerprints (): string[] {
     return this.views.map((view) => view.stamp)
   }
 
   /**
-   * @param view the configuration in force and the roster as they are now
-   * @returns whether it differs from the newest
+   * Adds the view of the current configuration and roster.
+   * @param view the view
+   * @returns whether it differs from the newest one
    */
   applyView (view: DivisionView): boolean {
     if (view.stamp === this.newest?.stamp) return false
     this.views.push(view)
-    this.release()
+    this.removeSupersededViews()
     return true
   }
 
   /**
-   * Takes in what a peer acknowledged, in an answer to a message of this node.
-   * Only then does the peer know this process: it has forgotten what the process
-   * before it acknowledged, and can't let go of a view that binds this one.
+   * Records that a peer acknowledged a view. Only an answer to a message of this
+   * process counts: its sender knows this process, has discarded what the
+   * previous process of this node acknowledged, and therefore can't drop a view
+   * that is still active here.
    * @param peer the peer
-   * @param stamp of a view that the peer is bound by
-   * @returns whether a view was let go, so that parts may have grown
+   * @param fingerprint fingerprint of the view
+   * @returns whether older views were dropped, so that shares may have grown
    */
-  observe (peer: PeerProcess, stamp: string): boolean {
+  observe (peer: PeerProcess, fingerprint: string): boolean {
     this.observeProcess(peer)
-    const known = this.acknowledged.get(peer.nodeId)
-    if (known === undefined || known.incarnation !== peer.incarnation || known.stamps.at(-1) === stamp) return false
-    known.stamps = [...known.stamps.filter((other) => other !== stamp), stamp].slice(-REMEMBERED_STAMPS)
-    return this.release()
+    const known = this.acknowledgementsByPeer.get(peer.nodeId)
+    if (known === undefined || known.incarnation !== peer.incarnation || known.fingerprints.at(-1) === fingerprint) return false
+    known.fingerprints = [...known.fingerprints.filter((other) => other !== fingerprint), fingerprint].slice(-MAX_FINGERPRINTS_PER_PEER)
+    return this.removeSupersededViews()
   }
 
   /**
-   * Takes note of a peer's process from any message of it. What an earlier
-   * process acknowledged does not bind the one that follows: it starts from
-   * nothing, and may act on an older list than the one before it.
+   * Records a peer's process, from any message of it. Acknowledgements of an
+   * earlier process are discarded: a new process starts without views and may
+   * act on an older VM list than the previous one.
    * @param peer the peer
    */
   observeProcess (peer: PeerProcess): void {
-    const known = this.acknowledged.get(peer.nodeId)
+    const known = this.acknowledgementsByPeer.get(peer.nodeId)
     if (known !== undefined && known.incarnation >= peer.incarnation) return
-    this.acknowledged.set(peer.nodeId, { incarnation: peer.incarnation, stamps: [] })
+    this.acknowledgementsByPeer.set(peer.nodeId, { incarnation: peer.incarnation, fingerprints: [] })
   }
 
-  /** @returns members that have not acknowledged the newest view, while older ones bind as well */
+  /** @returns members that have not acknowledged the newest view; empty if it is the only active one */
   listMissing (): string[] {
     const newest = this.newest
     if (newest === undefined || this.isSettled) return []
-    return this.listOthers(this.views).filter((nodeId) => !this.hasAcknowledged(nodeId, newest.stamp))
+    return this.listOtherMembers(this.views).filter((nodeId) => !this.hasAcknowledged(nodeId, newest.stamp))
   }
 
   /**
-   * @param slotKey a worker's slots
-   * @returns this node's part of them
+   * @param slotKey key of a worker's limits
+   * @returns this node's share of them
    */
   getPart (slotKey: string): SlotShare {
-    return this.views.reduce((least: SlotShare, view) => {
-      const part = view.parts.get(slotKey) ?? NOTHING
-      return { slots: Math.min(least.slots, part.slots), connections: Math.min(least.connections, part.connections) }
+    return this.views.reduce((smallest: SlotShare, view) => {
+      const share = view.shares.get(slotKey) ?? EMPTY_SHARE
+      return { slots: Math.min(smallest.slots, share.slots), connections: Math.min(smallest.connections, share.connections) }
     }, { slots: Infinity, connections: Infinity })
   }
 
   /**
-   * @param placeKey a place
-   * @returns this node's part of the place's own limit
+   * @param placeKey key of a place
+   * @returns this node's share of the place's concurrency limit
    */
   getPlacePart (placeKey: string): number {
-    return this.views.reduce((least, view) => Math.min(least, view.placeParts.get(placeKey) ?? 0), Infinity)
+    return this.views.reduce((smallest, view) => Math.min(smallest, view.placeShares.get(placeKey) ?? 0), Infinity)
   }
 
   /**
-   * @param use what this node uses now
-   * @returns the newest view that the use fits, to be told to peers; undefined if none
+   * Finds the view that this node acknowledges to its peers.
+   * @param use the current usage
+   * @returns the newest active view that the usage fits into; undefined if there is none
    */
   findAcknowledged (use: LimitUse): DivisionView | undefined {
-    return this.views.findLast((view) => view !== EMPTY_VIEW && isWithin(view, use))
+    return this.views.findLast((view) => view !== EMPTY_VIEW && isWithinShares(view, use))
   }
 
-  private release (): boolean {
+  private removeSupersededViews (): boolean {
     for (let index = this.views.length - 1; index > 0; index--) {
-      const stamp = this.views[index]!.stamp
-      const others = this.listOthers(this.views.slice(0, index + 1))
-      if (!others.every((nodeId) => this.hasAcknowledged(nodeId, stamp))) continue
+      const fingerprint = this.views[index]!.stamp
+      const others = this.listOtherMembers(this.views.slice(0, index + 1))
+      if (!others.every((nodeId) => this.hasAcknowledged(nodeId, fingerprint))) continue
       this.views = this.views.slice(index)
       return true
     }
     return false
   }
 
-  private listOthers (views: readonly DivisionView[]): string[] {
+  private listOtherMembers (views: readonly DivisionView[]): string[] {
     const members = new Set(views.flatMap((view) => view.members))
     members.delete(this.selfId)
     return [...members]
   }
 
-  private hasAcknowledged (nodeId: string, stamp: string): boolean {
-    return this.acknowledged.get(nodeId)?.stamps.includes(stamp) ?? false
+  private hasAcknowledged (nodeId: string, fingerprint: string): boolean {
+    return this.acknowledgementsByPeer.get(nodeId)?.fingerprints.includes(fingerprint) ?? false
   }
 }
 
-function isWithin (view: DivisionView, use: LimitUse): boolean {
+function isWithinShares (view: DivisionView, use: LimitUse): boolean {
   for (const [slotKey, count] of use.slots) {
-    if (count > (view.parts.get(slotKey)?.slots ?? 0)) return false
+    if (count > (view.shares.get(slotKey)?.slots ?? 0)) return false
   }
   for (const [placeKey, count] of use.places) {
-    if (count > (view.placeParts.get(placeKey) ?? 0)) return false
+    if (count > (view.placeShares.get(placeKey) ?? 0)) return false
   }
   return true
 }
--- a/packages/steering/src/common/limits/placeLedger.ts
+++ b/packages/steering/src/common/limits/placeLedger.ts
@@ -1,7 +1,7 @@
 /**
- * The slots of one place at one entry VM: its own parts, what it lent, what it
- * borrowed, and what is in use. Nothing here reads a clock; the same calls drive
- * it in the daemon, in property tests and in the measurement.
+ * Accounts for the slots of one place at one entry VM: the node's own shares, the
+ * slots it lent and borrowed, and those in use. It reads no clock, so the daemon,
+ * property tests and benchmarks can drive it with the same calls.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
@@ -9,44 +9,45 @@
 import type { SlotShare } from './divideSlots.js'
 import { type BorrowedLoan, LONGEST_LOAN_SPAN_MS, type LentLoan, type TakenSlot } from './loans.js'
 
-const NOTHING: SlotShare = { slots: 0, connections: 0 }
+const EMPTY_SHARE: SlotShare = { slots: 0, connections: 0 }
 /**
- * The part of the own connections that may be lent. It is kept out of the own
- * use at all times: an idle connection can't be called back in an instant.
+ * Fraction of the node's own connections that may be lent. The node never uses
+ * them itself, since idle connections can't be closed at once when a peer asks
+ * for a loan.
  */
-const LENDABLE_CONNECTIONS = 0.5
+const LENDABLE_CONNECTION_RATIO = 0.5
 
-/** The slots of one place. */
+/** The slot accounts of one place. */
 export class PlaceLedger {
-  private own: ReadonlyMap<string, SlotShare> = new Map()
-  private placePart = 0
+  private ownShares: ReadonlyMap<string, SlotShare> = new Map()
+  private placeShare = 0
   private readonly ownInUse = new Map<string, number>()
   private readonly lent = new Map<string, LentLoan>()
   private readonly borrowed = new Map<string, BorrowedLoan>()
 
   /**
-   * Takes over this node's parts. What is used beyond a smaller part runs out.
-   * @param parts by slot key
-   * @param placePart this node's part of the place's own limit
+   * Sets this node's shares. Requests that exceed a reduced share run to their end.
+   * @param shares shares by slot key
+   * @param placeShare this node's share of the place's concurrency limit
    */
-  setParts (parts: ReadonlyMap<string, SlotShare>, placePart: number): void {
-    this.own = parts
-    this.placePart = placePart
+  setParts (shares: ReadonlyMap<string, SlotShare>, placeShare: number): void {
+    this.ownShares = shares
+    this.placeShare = placeShare
   }
 
   /**
-   * @param slotKey a worker's slots
-   * @param until a loan must last so long to count
-   * @returns slots that may be used now, taken ones included
+   * @param slotKey key of a worker's limits
+   * @param until only loans that last until then are counted
+   * @returns the number of usable slots, including those in use
    */
   countSlots (slotKey: string, until: Deadline): number {
-    return Math.max(0, this.getPart(slotKey).slots - this.countLent(slotKey)) + this.countBorrowed(slotKey, until, countLoanSlots)
+    return Math.max(0, this.getShare(slotKey).slots - this.countLent(slotKey)) + this.countBorrowed(slotKey, until, countLoanSlots)
   }
 
   /**
-   * @param slotKey a worker's slots
+   * @param slotKey key of a worker's limits
    * @param until when a request that starts now must have ended
-   * @returns slots on which it can start
+   * @returns the number of free slots for such a request
    */
   countFree (slotKey: string, until: Deadline): number {
     return this.countOwnFree(slotKey) + this.countBorrowed(slotKey, until, (loan) => countLoanSlots(loan) - loan.inUse)
@@ -54,34 +55,35 @@
 
   /**
    * @param until when a request that starts now must have ended
-   * @returns requests that the place's own limit lets run here at a time, lent and borrowed included
+   * @returns how many requests this node may run at a time under the place's concurrency limit: its share without lent slots, and borrowed slots
    */
   countPlaceSlots (until: Deadline): number {
     let borrowed = 0
     for (const loan of this.borrowed.values()) {
       if (loan.deadline >= until) borrowed += countLoanSlots(loan)
     }
-    return Math.max(0, this.placePart - this.countAllLent()) + borrowed
+    return Math.max(0, this.placeShare - this.countAllLent()) + borrowed
   }
 
   /**
-   * @param slotKey a worker's slots
-   * @returns connections that this node may hold open to the worker
+   * @param slotKey key of a worker's limits
+   * @returns how many connections this node may hold open to the worker
    */
   countConnections (slotKey: string): number {
-    const own = this.getPart(slotKey).connections
+    const own = this.getShare(slotKey).connections
     let borrowed = 0
     for (const loan of this.borrowed.values()) {
       if (loan.slotKey === slotKey) borrowed += loan.connections
     }
-    return own - Math.floor(own * LENDABLE_CONNECTIONS) + borrowed
+    return own - Math.floor(own * LENDABLE_CONNECTION_RATIO) + borrowed
   }
 
   /**
-   * Takes a slot; the own ones first, so that loans fall idle and can go back.
-   * @param slotKey a worker's slots
+   * Acquires a slot. The node's own slots are used first, so that loans become
+   * idle and can be returned.
+   * @param slotKey key of a worker's limits
    * @param until when the request must have ended
-   * @returns the slot, to be given to `release`; undefined if none fits
+   * @returns the slot, to be passed to {@link PlaceLedger.release}; undefined if none is free until then
    */
   take (slotKey: string, until: Deadline): TakenSlot | undefined {
     if (this.countOwnFree(slotKey) > 0) {
@@ -98,7 +100,7 @@
     return { slotKey, loan: best }
   }
 
-  /** @param slot one from `take`, once */
+  /** @param slot a slot from {@link PlaceLedger.take}; must be released exactly once */
   release (slot: TakenSlot): void {
     if (slot.loan !== undefined) {
       slot.loan.inUse--
@@ -109,7 +111,7 @@
     else this.ownInUse.delete(slot.slotKey)
   }
 
-  /** @returns own slots in use or lent, by slot key; what is borrowed counts at its lender */
+  /** @returns the node's own slots in use or lent, by slot key; borrowed slots count at their lender */
   listUse (): Map<string, number> {
     const use = new Map(this.ownInUse)
     for (const loan of this.lent.values()) {
@@ -119,66 +121,65 @@
   }
 
   /**
-   * Lends what is idle. The slots are out of the own use before the answer
-   * leaves; a repeated request gets the same answer.
-   * @param request what a peer asks for
-   * @param now the present
-   * @param keep idle slots to keep for own requests
-   * @returns what was lent; zero slots if nothing is idle
+   * Lends idle slots. This node stops using them before the answer is sent; a
+   * repeated request gets the same answer.
+   * @param request a peer's request for a loan
+   * @param now the current time
+   * @param reservedSlots number of idle slots to keep for this node's own requests
+   * @returns the loan; zero slots if none can be lent
    */
-  lend (request: LoanRequest, now: Instant, keep: number): LoanAnswer {
+  lend (request: LoanRequest, now: Instant, reservedSlots: number): LoanAnswer {
     this.removeEnded(now)
     const id = buildLoanId(request)
-    const known = this.lent.get(id)
-    if (known !== undefined) return buildAnswer(request.loanId, known)
+    const existing = this.lent.get(id)
+    if (existing !== undefined) return buildAnswer(request.loanId, existing)
     const deadline = Math.min(request.deadline, createDeadline(now, LONGEST_LOAN_SPAN_MS))
-    const idle = Math.min(this.countOwnFree(request.workerId), Math.max(0, this.countAllOwnFree() - keep))
+    const idle = Math.min(this.countOwnFree(request.workerId), Math.max(0, this.countAllOwnFree() - reservedSlots))
     const connections = Math.min(request.connections, this.countLendableConnections(request.workerId))
     const slots = Math.min(request.slots, idle, connections)
-    if (slots <= 0 || hasPassed(deadline, now)) return { loanId: request.loanId, ...NOTHING, deadline: now }
+    if (slots <= 0 || hasPassed(deadline, now)) return { loanId: request.loanId, ...EMPTY_SHARE, deadline: now }
     const loan: LentLoan = { borrowerId: request.borrowerId, slotKey: request.workerId, slots, connections, deadline, isReturned: false }
     this.lent.set(id, loan)
     return buildAnswer(request.loanId, loan)
   }
 
   /**
-   * Takes a loan back early. A return can overtake its request only if the
-   * request was given up; the request is then refused.
-   * @param loan what the borrower returns
-   * @param now the present
+   * Ends a loan before its deadline. A return can arrive before the request for
+   * the loan only if the borrower abandoned that request; when the request
+   * arrives later, it is refused.
+   * @param loan the returned loan
+   * @param now the current time
    */
   settleReturn (loan: LoanReturn, now: Instant): void {
     const id = buildLoanId(loan)
-    const known = this.lent.get(id)
-    if (known !== undefined) {
-      known.isReturned = true
+    const existing = this.lent.get(id)
+    if (existing !== undefined) {
+      existing.isReturned = true
       return
     }
     const deadline = createDeadline(now, LONGEST_LOAN_SPAN_MS)
-    this.lent.set(id, { borrowerId: loan.borrowerId, slotKey: '', ...NOTHING, deadline, isReturned: true })
+    this.lent.set(id, { borrowerId: loan.borrowerId, slotKey: '', ...EMPTY_SHARE, deadline, isReturned: true })
   }
 
-  /** @param loan a loan that a peer granted */
+  /** @param loan a loan granted by a peer */
   addLoan (loan: BorrowedLoan): void {
     this.borrowed.set(loan.loanId, loan)
   }
 
-  /**
-   * @param loanId a loan of which nothing is in use
-   */
+  /** @param loanId id of a borrowed loan without slots in use */
   removeLoan (loanId: string): void {
     this.borrowed.delete(loanId)
   }
 
-  /** @returns loans that this node holds */
+  /** @returns the loans that this node has borrowed */
   listBorrowed (): readonly BorrowedLoan[] {
     return [...this.borrowed.values()]
   }
 
   /**
-   * Lets go of loans that have ended.
-   * @param now the present
-   * @returns whether there was one
+   * Removes loans whose deadline has passed.
+   * @param now the current time
+   * @returns whether any was removed
    */
   removeEnded (now: Instant): boolean {
     const before = this.lent.size + this.borrowed.size
@@ -191,24 +192,24 @@
     return this.lent.size + this.borrowed.size < before
   }
 
-  /** @returns own slots that are neither in use nor lent, all workers together */
+  /** @returns the number of the node's own slots that are neither in use nor lent, over all workers */
   countAllOwnFree (): number {
     let sum = 0
-    for (const slotKey of this.own.keys()) sum += this.countWorkerFree(slotKey)
+    for (const slotKey of this.ownShares.keys()) sum += this.countWorkerFree(slotKey)
     return Math.min(sum, this.countPlaceFree())
   }
 
   /**
-   * @param slotKey a worker's slots
-   * @param now the present
-   * @returns the nodes that borrow some of them
+   * @param slotKey key of a worker's limits
+   * @param now the current time
+   * @returns ids of the nodes that currently borrow slots of the worker
    */
   listBorrowers (slotKey: string, now: Instant): string[] {
     const loans = [...this.lent.values()].filter((loan) => loan.slotKey === slotKey && !loan.isReturned && !hasPassed(loan.deadline, now))
     return [...new Set(loans.map((loan) => loan.borrowerId))]
   }
 
-  /** @returns slots lent to peers */
+  /** @returns the number of slots lent to peers, over all workers */
   countAllLent (): number {
     let sum = 0
     for (const loan of this.lent.values()) sum += loan.isReturned ? 0 : loan.slots
@@ -220,13 +221,13 @@
   }
 
   private countWorkerFree (slotKey: string): number {
-    return Math.max(0, this.getPart(slotKey).slots - this.countLent(slotKey) - this.getOwnInUse(slotKey))
+    return Math.max(0, this.getShare(slotKey).slots - this.countLent(slotKey) - this.getOwnInUse(slotKey))
   }
 
   private countPlaceFree (): number {
     let inUse = 0
     for (const count of this.ownInUse.values()) inUse += count
-    return Math.max(0, this.placePart - this.countAllLent() - inUse)
+    return Math.max(0, this.placeShare - this.countAllLent() - inUse)
   }
 
   private countBorrowed (slotKey: string, until: Deadline, count: (loan: BorrowedLoan) => number): number {
@@ -246,15 +247,15 @@
   }
 
   private countLendableConnections (slotKey: string): number {
-    let left = Math.floor(this.getPart(slotKey).connections * LENDABLE_CONNECTIONS)
+    let left = Math.floor(this.getShare(slotKey).connections * LENDABLE_CONNECTION_RATIO)
     for (const loan of this.lent.values()) {
       if (loan.slotKey === slotKey && !loan.isReturned) left -= loan.connections
     }
     return Math.max(0, left)
   }
 
-  private getPart (slotKey: string): SlotShare {
-    return this.own.get(slotKey) ?? NOTHING
+  private getShare (slotKey: string): SlotShare {
+    return this.ownShares.get(slotKey) ?? EMPTY_SHARE
   }
 
   private getOwnInUse (slotKey: string): number {
@@ -271,6 +272,6 @@
 }
 
 function buildAnswer (loanId: string, loan: LentLoan): LoanAnswer {
-  const { slots, connections } = loan.isReturned ? NOTHING : loan
+  const { slots, connections } = loan.isReturned ? EMPTY_SHARE : loan
   return { loanId, slots, connections, deadline: loan.deadline }
 }
--- a/packages/steering/src/common/limits/roster.ts
+++ b/packages/steering/src/common/limits/roster.ts
@@ -1,152 +1,159 @@
 /**
- * The entry VMs among which limits are divided, by region: those on the VM list,
- * and those that left it less than a hold ago. Who is in reach plays no part, so
- * a partition frees nothing.
+ * The entry VMs among which limits are divided, by region: those on the VM list
+ * and those that were removed from it less than a grace period ago. Reachability
+ * is not considered, so a network partition never frees a share.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import type { EntryCandidate } from '../lookup/decideLookup.js'
 import { type VmListSnapshot, VmRole } from '../ports/vmList.js'
 
-/** How long things last, in milliseconds. */
+/** Durations that decide which entry VMs have a share. */
 export interface RosterPolicy {
   /**
-   * A VM that left the list keeps its part for so long: it may be cut off from
-   * the list and still send. Longer than `staleSpanMs`, the list's lag and the
-   * longest request together.
+   * How long a VM keeps its share after it was removed from the list. It may be
+   * unable to read the list and still send requests, so this must exceed
+   * {@link RosterPolicy.maxListAgeMs}, the delay of the list and the longest
+   * request together.
    */
   readonly holdSpanMs: number
-  /** A node whose list is older than this starts no request on its own part. */
-  readonly staleSpanMs: number
+  /** A node that has not confirmed its VM list for this long starts no request on its own share. */
+  readonly maxListAgeMs: number
 }
 
-const SMALL_FLEET = 32
-const SHORTEST_STALE_SPAN_MS = 10_000
-const LONGEST_STALE_SPAN_MS = 75_000
-/** Beyond the stale span: the list's lag and the longest request. */
-const HOLD_MARGIN_MS = 50_000
-/** A list that shows only older versions for so long has begun to count anew. */
-const RESET_SPAN_MS = 60_000
+/** Up to this size a fleet reads the VM list at the highest rate. */
+const MAX_SMALL_FLEET_VMS = 32
+/** Limit on the list's age in a small fleet, before the minimum is applied. */
+const BASE_LIST_AGE_LIMIT_MS = 2_500
+const MIN_LIST_AGE_LIMIT_MS = 10_000
+const MAX_LIST_AGE_LIMIT_MS = 75_000
+/** Covers the delay of the VM list and the longest request. */
+const REMOVAL_GRACE_MARGIN_MS = 50_000
+/** If every read for this long returns an older version, the list's version counter has been reset. */
+const LIST_RESET_DELAY_MS = 60_000
 
 /**
- * A large fleet reads the list less often (from 1 s to 30 s), so it takes longer
- * to find out that a list is too old.
- * @param fleetSize entry VMs on the list
- * @returns the spans to go by
+ * Computes the durations for a fleet size. A larger fleet reads the list less
+ * often (every 1 s to 30 s), so it must accept an older list.
+ * @param fleetSize number of entry VMs on the list
+ * @returns the durations
  */
 export function computeRosterPolicy (fleetSize: number): RosterPolicy {
-  const spread = Math.max(1, fleetSize / SMALL_FLEET)
-  const staleSpanMs = Math.min(LONGEST_STALE_SPAN_MS, Math.max(SHORTEST_STALE_SPAN_MS, 2.5 * 1000 * spread))
-  return { staleSpanMs, holdSpanMs: staleSpanMs + HOLD_MARGIN_MS }
+  const scale = Math.max(1, fleetSize / MAX_SMALL_FLEET_VMS)
+  const maxListAgeMs = Math.min(MAX_LIST_AGE_LIMIT_MS, Math.max(MIN_LIST_AGE_LIMIT_MS, BASE_LIST_AGE_LIMIT_MS * scale))
+  return { maxListAgeMs, holdSpanMs: maxListAgeMs + REMOVAL_GRACE_MARGIN_MS }
 }
 
-interface HeldMember {
+interface RosterMember {
   readonly candidate: EntryCandidate
-  /** Undefined while it is on the list. */
-  leavesAt: Deadline | undefined
+  /** When its share ends; undefined while it is on the list. */
+  expiresAt: Deadline | undefined
 }
 
-/** The roster as one node knows it. */
+/** The roster as known to one node. */
 export class Roster {
-  private readonly held = new Map<string, HeldMember>()
+  private readonly memberById = new Map<string, RosterMember>()
   private confirmedUntil: Deadline = -Infinity
-  private seenVersion = -1
+  private latestVersion = -1
 
   private fleetSize = 0
-  private olderSince: Instant | undefined
+  private olderListSince: Instant | undefined
 
-  /** @param computePolicy how long things last in a fleet of a size */
+  /** @param computePolicy computes the durations from the number of entry VMs on the list */
   constructor (private readonly computePolicy: (fleetSize: number) => RosterPolicy = computeRosterPolicy) {}
 
-  /** @returns how long things last */
+  /** @returns the durations for the current fleet size */
   get policy (): RosterPolicy {
     return this.computePolicy(this.fleetSize)
   }
 
-  /** @returns the version of the VM list that this roster acts on, -1 before the first */
+  /** @returns the version of the VM list in use; -1 before the first */
   get listVersion (): number {
-    return this.seenVersion
+    return this.latestVersion
   }
 
   /**
-   * Takes in the list. A list older than one seen before changes nothing and
-   * confirms nothing: it may come from a replica that is cut off.
+   * Applies a reading of the VM list. A list older than one seen before is
+   * ignored and doesn't confirm the roster: it may come from a replica that is
+   * partitioned from the others.
    * @param snapshot the list
-   * @param askedAt when the list was asked for
-   * @param now the present
+   * @param askedAt when the list was requested
+   * @param now the current time
    */
   observeList (snapshot: VmListSnapshot, askedAt: Instant, now: Instant): void {
-    if (snapshot.version < this.seenVersion && !this.isReset(now)) return
-    this.olderSince = undefined
+    if (snapshot.version < this.latestVersion && !this.isReset(now)) return
+    this.olderListSince = undefined
     this.fleetSize = snapshot.vms.filter((vm) => vm.role === VmRole.Entry).length
-    this.confirmedUntil = Math.max(this.confirmedUntil, createDeadline(askedAt, this.policy.staleSpanMs))
-    if (snapshot.version === this.seenVersion) return
-    this.seenVersion = snapshot.version
+    this.confirmedUntil = Math.max(this.confirmedUntil, createDeadline(askedAt, this.policy.maxListAgeMs))
+    if (snapshot.version === this.latestVersion) return
+    this.latestVersion = snapshot.version
     const listed = new Set<string>()
     for (const vm of snapshot.vms) {
       if (vm.role !== VmRole.Entry) continue
       listed.add(vm.vmId)
       const candidate = { nodeId: vm.vmId, region: vm.region, failureDomain: vm.failureDomain }
-      this.held.set(vm.vmId, { candidate, leavesAt: undefined })
+      this.memberById.set(vm.vmId, { candidate, expiresAt: undefined })
     }
-    for (const [nodeId, member] of this.held) {
-      if (!listed.has(nodeId)) member.leavesAt ??= createDeadline(now, this.policy.holdSpanMs)
+    for (const [nodeId, member] of this.memberById) {
+      if (!listed.has(nodeId)) member.expiresAt ??= createDeadline(now, this.policy.holdSpanMs)
     }
   }
 
-  /** A list that was set up anew would otherwise be refused for ever, and this node with it. */
+  /** Without this check, a list that was set up again would be ignored forever, and this node would never regain its share. */
   private isReset (now: Instant): boolean {
-    this.olderSince ??= now
-    return hasPassed(createDeadline(this.olderSince, RESET_SPAN_MS), now)
+    this.olderListSince ??= now
+    return hasPassed(createDeadline(this.olderListSince, LIST_RESET_DELAY_MS), now)
   }
 
   /**
-   * Takes over what a peer remembers. A process that has just started has not
-   * seen who left the list before it, and would divide what they still use.
-   * @param gone VMs that a peer holds although the list has lost them
-   * @param now the present; the hold begins anew
+   * Adds removed VMs that a peer still counts. A process that has just started
+   * doesn't know which VMs were removed before, and would otherwise divide shares
+   * that are still in use.
+   * @param removed VMs that are no longer on the list but keep their shares at a peer
+   * @param now the current time, from which their grace period starts again
    */
-  holdGone (gone: readonly EntryCandidate[], now: Instant): void {
-    for (const candidate of gone) {
-      if (this.held.has(candidate.nodeId)) continue
-      this.held.set(candidate.nodeId, { candidate, leavesAt: createDeadline(now, this.policy.holdSpanMs) })
+  holdGone (removed: readonly EntryCandidate[], now: Instant): void {
+    for (const candidate of removed) {
+      if (this.memberById.has(candidate.nodeId)) continue
+      this.memberById.set(candidate.nodeId, { candidate, expiresAt: createDeadline(now, this.policy.holdSpanMs) })
     }
   }
 
-  /** @returns VMs of all regions that are held although the list has lost them */
+  /** @returns VMs of all regions that are no longer on the list but keep their shares */
   listGone (): EntryCandidate[] {
-    return [...this.held.values()].filter(({ leavesAt }) => leavesAt !== undefined).map((member) => member.candidate)
+    return [...this.memberById.values()].filter(({ expiresAt }) => expiresAt !== undefined).map((member) => member.candidate)
   }
 
   /**
-   * Lets go of VMs whose hold has passed.
-   * @param now the present
+   * Removes VMs whose grace period has passed.
+   * @param now the current time
    */
   step (now: Instant): void {
-    for (const [nodeId, { leavesAt }] of this.held) {
-      if (leavesAt !== undefined && hasPassed(leavesAt, now)) this.held.delete(nodeId)
+    for (const [nodeId, { expiresAt }] of this.memberById) {
+      if (expiresAt !== undefined && hasPassed(expiresAt, now)) this.memberById.delete(nodeId)
     }
   }
 
   /**
    * @param region a region
-   * @returns its members in the order of their ids
+   * @returns its members, sorted by id
    */
   list (region: string): EntryCandidate[] {
-    const members = [...this.held.values()].map((member) => member.candidate).filter((candidate) => candidate.region === region)
+    const members = [...this.memberById.values()].map((member) => member.candidate).filter((candidate) => candidate.region === region)
     return members.sort((one, other) => one.nodeId < other.nodeId ? -1 : 1)
   }
 
   /**
-   * Others divide a node's part among themselves a hold after they saw that the
-   * list has lost it. It must have stopped by then: at once if it sees the same,
-   * and soon if it hears nothing of the list and can't know.
-   * @param nodeId this node
-   * @param now the present
-   * @returns whether it may start requests on its own part
+   * Tells whether a node may start requests on its own share. The other nodes
+   * divide its share among themselves one grace period after they see that it was
+   * removed from the list, so it must have stopped by then: at once if it sees the
+   * removal itself, and after a while if it can't read the list.
+   * @param nodeId id of this node
+   * @param now the current time
+   * @returns whether it may
    */
   mayUseParts (nodeId: string, now: Instant): boolean {
-    const self = this.held.get(nodeId)
-    return self !== undefined && self.leavesAt === undefined && !hasPassed(this.confirmedUntil, now)
+    const member = this.memberById.get(nodeId)
+    return member !== undefined && member.expiresAt === undefined && !hasPassed(this.confirmedUntil, now)
   }
 }
--- a/packages/steering/src/common/limits/startBarrier.ts
+++ b/packages/steering/src/common/limits/startBarrier.ts
@@ -1,24 +1,25 @@
 /**
- * Keeps a node that has just started from using its own parts until it knows
- * what the process before it knew: peers may still use slots that it lent, and
- * VMs that left the list a moment ago may still use theirs. Either part would be
- * used twice. Peers that answer tell both; without them the longest loan and the
- * hold on VMs must pass.
+ * Keeps a starting node from using its own shares until it knows what its
+ * previous process knew. Peers may still use slots that the previous process
+ * lent, and VMs that were recently removed from the list may still use their
+ * shares; such slots would be used twice. Peers report both in their answers. If
+ * some don't answer, the barrier opens after the maximum loan duration and the
+ * grace period of removed VMs, whichever is longer.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, hasPassed } from '@umberspar/base/common/deadline'
 import { LONGEST_LOAN_SPAN_MS } from './loans.js'
 
-/** What a peer's answer said. */
-export interface PeerMemory {
+/** The content of a peer's answer that concerns a starting node. */
+export interface PeerReport {
   readonly nodeId: string
-  /** Whether it holds a loan of this node. */
+  /** Whether the peer holds a loan granted by this node. */
   readonly holdsLoan: boolean
-  /** The VM list that it acts on. */
+  /** Version of the VM list that the peer uses. */
   readonly listVersion: number
 }
 
-/** Opens once nothing of an earlier process can be in use. */
+/** Opens once no slot of this node's shares can still be in use because of its previous process. */
 export class StartBarrier {
   private readonly listVersionById = new Map<string, number>()
   private firstListVersion: number | undefined
@@ -27,40 +28,41 @@
   /** @param startedAt when this process started */
   constructor (private readonly startedAt: Instant) {}
 
-  /** @returns whether own parts may be used */
+  /** @returns whether the node may use its own shares */
   get isOpen (): boolean {
     return this.hasOpened
   }
 
-  /** @param memory a peer's answer to this process */
-  observe (memory: PeerMemory): void {
-    if (!memory.holdsLoan) this.listVersionById.set(memory.nodeId, memory.listVersion)
+  /** @param report a peer's answer to this process */
+  observe (report: PeerReport): void {
+    if (!report.holdsLoan) this.listVersionById.set(report.nodeId, report.listVersion)
   }
 
   /**
-   * @param nodeId a peer
-   * @returns whether its answer is still awaited
+   * @param nodeId id of a peer
+   * @returns whether the barrier still waits for its answer
    */
   isWaitingFor (nodeId: string): boolean {
-    return !this.hasOpened && !this.isAnswered(nodeId)
+    return !this.hasOpened && !this.hasAnswered(nodeId)
   }
 
   /**
-   * @param listVersion of the VM list that this node acts on; below 0 before the first
-   * @param peers all entry VMs but this one: on the list, or held although the list has lost them, since these may hold loans as well
-   * @param now the present
-   * @param holdSpanMs how long a VM that left the list is held, in milliseconds
+   * Opens the barrier if its condition holds.
+   * @param listVersion version of the VM list that this node uses; negative before the first
+   * @param peers ids of all other entry VMs: those on the list, and removed ones in their grace period, which may hold loans as well
+   * @param now the current time
+   * @param removalGraceMs how long a VM keeps its share after it was removed from the list
    */
-  step (listVersion: number, peers: readonly string[], now: Instant, holdSpanMs: number): void {
+  step (listVersion: number, peers: readonly string[], now: Instant, removalGraceMs: number): void {
     if (listVersion >= 0) this.firstListVersion ??= listVersion
-    const isAnswered = this.firstListVersion !== undefined && peers.every((nodeId) => this.isAnswered(nodeId))
-    const opensAt = createDeadline(this.startedAt, Math.max(LONGEST_LOAN_SPAN_MS, holdSpanMs))
-    if (isAnswered || hasPassed(opensAt, now)) this.hasOpened = true
+    const hasEveryPeerAnswered = this.firstListVersion !== undefined && peers.every((nodeId) => this.hasAnswered(nodeId))
+    const opensAt = createDeadline(this.startedAt, Math.max(LONGEST_LOAN_SPAN_MS, removalGraceMs))
+    if (hasEveryPeerAnswered || hasPassed(opensAt, now)) this.hasOpened = true
   }
 
-  /** A peer that acts on an older list than this node's first does not know yet who has left it. */
-  private isAnswered (nodeId: string): boolean {
-    const theirs = this.listVersionById.get(nodeId)
-    return theirs !== undefined && this.firstListVersion !== undefined && theirs >= this.firstListVersion
+  /** The answer of a peer with an older list than this node's first doesn't count: that peer may not know yet which VMs were removed. */
+  private hasAnswered (nodeId: string): boolean {
+    const peerVersion = this.listVersionById.get(nodeId)
+    return peerVersion !== undefined && this.firstListVersion !== undefined && peerVersion >= this.firstListVersion
   }
 }
--- a/packages/steering/src/common/limits/waitEstimate.ts
+++ b/packages/steering/src/common/limits/waitEstimate.ts
@@ -1,57 +1,59 @@
 /**
- * Estimates how long a request would wait for a slot: from the mean span for
- * which earlier requests of its kind held one, and the queue before it.
+ * Estimates how long a request would wait for a slot, from the mean time for
+ * which earlier requests held their slots and from the queue ahead of it.
  */
 import { RequestKind } from '../configuration/configurationSchema.js'
 import type { ByKind } from './kindLimits.js'
 
-/** The weight of the newest span in the running mean. */
-const NEWEST_WEIGHT = 0.1
+/** Weight of the newest sample in the exponential moving average. */
+const NEWEST_SAMPLE_WEIGHT = 0.1
 
-/** What stands before a request. */
+/** The requests ahead of a waiting request. */
 export interface QueueAhead {
   readonly kind: RequestKind
-  /** Requests that would start before it. */
+  /** Number of requests that would start before it. */
   readonly ahead: number
-  /** Slots that each kind holds. */
+  /** Slots in use. */
   readonly inUse: ByKind
-  /** Whether its kind is owed slots that the other kind holds. */
+  /** Whether its kind has fewer slots than it is guaranteed, so that it also gets slots released by the other kind. */
   readonly isOwed: boolean
 }
 
-/** A running mean of holding spans by kind. */
+/** Moving averages of the time for which requests hold a slot, by kind. */
 export class WaitEstimate {
-  private readonly means = new Map<RequestKind, number>()
+  private readonly meanByKind = new Map<RequestKind, number>()
 
   /**
-   * @param kind what was held
-   * @param spanMs how long a request held its slot, in milliseconds
+   * Adds a sample.
+   * @param kind kind of a request that has ended
+   * @param spanMs how long it held its slot, in milliseconds
    */
   observe (kind: RequestKind, spanMs: number): void {
-    const mean = this.means.get(kind)
-    this.means.set(kind, mean === undefined ? spanMs : mean + NEWEST_WEIGHT * (spanMs - mean))
+    const mean = this.meanByKind.get(kind)
+    this.meanByKind.set(kind, mean === undefined ? spanMs : mean + NEWEST_SAMPLE_WEIGHT * (spanMs - mean))
   }
 
   /**
-   * @param kind which requests
-   * @returns the mean span that they hold a slot, in milliseconds; 0 before the first
+   * @param kind kind of requests
+   * @returns the mean time for which they hold a slot, in milliseconds; 0 before the first sample
    */
   getMeanSpanMs (kind: RequestKind): number {
-    return this.means.get(kind) ?? 0
+    return this.meanByKind.get(kind) ?? 0
   }
 
   /**
-   * @param queue what stands before the request; all slots are taken
-   * @returns the expected wait until enough slots have come free, in milliseconds
+   * Estimates the wait of a request while all slots are in use.
+   * @param queue the requests ahead of it
+   * @returns the expected time until enough slots are released, in milliseconds; Infinity if none is in use
    */
   estimateWaitMs (queue: QueueAhead): number {
     const kinds = queue.isOwed ? Object.values(RequestKind) : [queue.kind]
-    const perMs = kinds.reduce((sum, kind) => sum + this.computeRate(kind, queue.inUse[kind]), 0)
-    return perMs === 0 ? Infinity : (queue.ahead + 1) / perMs
+    const releasesPerMs = kinds.reduce((sum, kind) => sum + this.computeReleaseRate(kind, queue.inUse[kind]), 0)
+    return releasesPerMs === 0 ? Infinity : (queue.ahead + 1) / releasesPerMs
   }
 
-  /** Slots of a kind that come free in a millisecond; a kind that was never seen to end is taken to end at once. */
-  private computeRate (kind: RequestKind, inUse: number): number {
+  /** Computes how many slots a kind releases in a millisecond; Infinity as long as there is no sample. */
+  private computeReleaseRate (kind: RequestKind, inUse: number): number {
     if (inUse === 0) return 0
     const meanMs = this.getMeanSpanMs(kind)
     return meanMs === 0 ? Infinity : inUse / meanMs
--- a/packages/steering/test/common/limits/limitWorld.ts
+++ b/packages/steering/test/common/limits/limitWorld.ts
@@ -1,56 +1,56 @@
 /**
- * Several entry VMs of one region that share one place, driven event by event:
- * own clocks, messages that are lost, late or doubled, list readings that lag.
- * Requests are counted at the workers themselves.
+ * Simulates several entry VMs of one region that share the limits of one place.
+ * Each VM has a clock of its own, messages may be lost, delayed or duplicated, and
+ * readings of the VM list may be outdated. Requests are counted at the workers.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { buildDivisionView } from '../../../src/common/limits/divisionView.js'
 import { CLOCK_RATE_MARGIN, type TakenSlot } from '../../../src/common/limits/loans.js'
 import { PartKeeper } from '../../../src/common/limits/partKeeper.js'
 import { PlaceLedger } from '../../../src/common/limits/placeLedger.js'
-import { Roster } from '../../../src/common/limits/roster.js'
+import { Roster, type RosterPolicy } from '../../../src/common/limits/roster.js'
 import { buildPlaceKey, buildSlotKey, findPlaceKey } from '../../../src/common/limits/slotKey.js'
 import { StartBarrier } from '../../../src/common/limits/startBarrier.js'
 import { type VmListSnapshot, VmRole, VmState } from '../../../src/common/ports/vmList.js'
 import type { SteeringConfiguration } from '../../../src/common/configuration/configurationSchema.js'
 import { buildSampleConfiguration } from '../sampleConfiguration.js'
 
-/** The last stands in another region, is always on the list and never restarts. */
+/** The last node is in another region, is always on the list and never restarts. */
 export const NODE_IDS = ['n1', 'n2', 'n3', 'n4']
-const WITNESS = 'n4'
+const STABLE_NODE = 'n4'
 const SERVICE = 'escort-svc'
 const DOMAIN = 'klang-a'
 const REGION = 'klang'
 const OTHER_REGION = 'penang'
 const PLACE_KEY = buildPlaceKey(SERVICE, DOMAIN)
-/** Shorter than the product's, in the same proportions: hold > stale + lag + longest request. */
-const POLICY = { holdSpanMs: 700, staleSpanMs: 300 }
+/** Scaled down; as in production, the grace period exceeds the maximum list age, the list's delay and the longest request together. */
+const POLICY: RosterPolicy = { holdSpanMs: 700, maxListAgeMs: 300 }
 const LIST_LAG_MS = 150
-export const LONGEST_REQUEST_MS = 200
-/** How far clocks run apart, as a part; the product's margin is wider. */
-const RATE_SPREAD = CLOCK_RATE_MARGIN / 4
+export const MAX_REQUEST_MS = 200
+/** Difference between the rates of two successive nodes' clocks; the margin for loans is wider. */
+const CLOCK_RATE_SPREAD_RATIO = CLOCK_RATE_MARGIN / 4
 
-/** What operators may set in a version. */
+/** The limits that a configuration version sets. */
 export interface Limits {
   readonly slots: number
   readonly entriesPerRegion: number
   readonly maxConcurrency: number | undefined
 }
 
-interface Version {
+interface ConfigurationVersion {
   readonly configuration: SteeringConfiguration
   readonly limits: Limits
 }
 
-/** A request at a worker. */
-interface Running {
-  readonly node: WorldNode
+/** A request that is running at a worker. */
+interface RunningRequest {
+  readonly node: SimulatedNode
   readonly incarnation: number
   readonly slot: TakenSlot
   readonly endsAt: Instant
 }
 
-/** A message under way; delivered once, twice or never. */
+/** A delayed message. */
 interface Message {
   readonly to: string
   handle(): void
@@ -65,8 +65,8 @@
   return configuration
 }
 
-/** One entry VM's process. */
-export class WorldNode {
+/** The process of one entry VM. */
+export class SimulatedNode {
   roster = new Roster(() => POLICY)
   division: PartKeeper
   ledger = new PlaceLedger()
@@ -74,17 +74,17 @@
   version = 0
   private viewKey = ''
 
-  constructor (private readonly world: LimitWorld, readonly nodeId: string, private readonly offset: number, private readonly rate: number, public incarnation: number) {
+  constructor (private readonly simulation: LimitSimulation, readonly nodeId: string, private readonly offset: number, private readonly rate: number, public incarnation: number) {
     this.division = new PartKeeper(nodeId)
     this.barrier = new StartBarrier(this.now())
   }
 
-  /** The node's own clock. */
+  /** The current time on the node's own clock. */
   now (): Instant {
-    return this.offset + this.rate * this.world.time
+    return this.offset + this.rate * this.simulation.time
   }
 
-  /** Other entry VMs of all regions, those held as well. */
+  /** Ids of the other entry VMs of all regions, including removed ones in their grace period. */
   private listPeers (): string[] {
     const all = [...this.roster.list(REGION), ...this.roster.list(OTHER_REGION)]
     return all.map(({ nodeId }) => nodeId).filter((nodeId) => nodeId !== this.nodeId)
@@ -104,20 +104,20 @@
     const now = this.now()
     this.roster.step(now)
     this.barrier.step(this.roster.listVersion, this.listPeers(), now, POLICY.holdSpanMs)
-    const version = this.world.versions[this.version]
+    const version = this.simulation.versions[this.version]
     if (version !== undefined && this.barrier.isOpen) {
       const input = { selfId: this.nodeId, region: REGION, configuration: version.configuration, configurationVersion: this.version, configurationDigest: '', listVersion: this.roster.listVersion, members: this.roster.list(REGION) }
       const key = JSON.stringify([this.version, input.listVersion, input.members])
       if (key !== this.viewKey) {
         this.viewKey = key
         const view = buildDivisionView(input)
-        this.world.versionByStamp.set(view.stamp, this.version)
+        this.simulation.versionByFingerprint.set(view.stamp, this.version)
         this.division.applyView(view)
       }
     }
-    const mayUse = this.barrier.isOpen && this.roster.mayUseParts(this.nodeId, now)
-    const keys = this.world.slotKeys
-    this.ledger.setParts(new Map(keys.map((key) => [key, mayUse ? this.division.getPart(key) : { slots: 0, connections: 0 }])), mayUse ? this.division.getPlacePart(PLACE_KEY) : 0)
+    const mayUseShares = this.barrier.isOpen && this.roster.mayUseParts(this.nodeId, now)
+    const keys = this.simulation.slotKeys
+    this.ledger.setParts(new Map(keys.map((key) => [key, mayUseShares ? this.division.getPart(key) : { slots: 0, connections: 0 }])), mayUseShares ? this.division.getPlacePart(PLACE_KEY) : 0)
     this.ledger.removeEnded(now)
   }
 
@@ -130,32 +130,32 @@
   }
 }
 
-/** The platform, the workers and the messages. */
-export class LimitWorld {
+/** The VM list, the configuration versions, the workers and the messages between nodes. */
+export class LimitSimulation {
   time: Instant = 0
-  readonly versions: Version[] = []
-  readonly versionByStamp = new Map<string, number>()
+  readonly versions: ConfigurationVersion[] = []
+  readonly versionByFingerprint = new Map<string, number>()
   readonly slotKeys: string[]
-  readonly nodes: WorldNode[]
+  readonly nodes: SimulatedNode[]
   readonly counts = { started: 0, startedOnLoan: 0, settledAnew: 0, full: 0 }
-  private running: Running[] = []
+  private running: RunningRequest[] = []
   private messages: Message[] = []
   private listed = new Set<string>()
-  private listings: Array<{ readonly since: Instant, readonly snapshot: VmListSnapshot }> = []
+  private listHistory: Array<{ readonly since: Instant, readonly snapshot: VmListSnapshot }> = []
   private nextLoan = 0
 
   constructor (limits: Limits, listed: readonly string[]) {
     this.versions.push({ configuration: buildConfiguration(limits), limits })
     this.slotKeys = Object.entries(this.versions[0]!.configuration.services[SERVICE]!.places[DOMAIN]!.workers).map(([id, { address }]) => buildSlotKey(SERVICE, DOMAIN, id, address))
-    this.nodes = NODE_IDS.map((id, index) => new WorldNode(this, id, index * 1000, 1 + RATE_SPREAD * (index - 1.5), 1))
+    this.nodes = NODE_IDS.map((id, index) => new SimulatedNode(this, id, index * 1000, 1 + CLOCK_RATE_SPREAD_RATIO * (index - 1.5), 1))
     this.setListed(listed)
   }
 
-  /** Lists or unlists VMs; a VM that is no longer listed goes on running. */
+  /** Sets the VMs on the list; a VM that is removed from it keeps running. */
   setListed (ids: readonly string[]): void {
-    this.listed = new Set([...ids, WITNESS])
-    const vms = [...this.listed].map((vmId, index) => ({ vmId, role: VmRole.Entry, state: VmState.Live, region: vmId === WITNESS ? OTHER_REGION : REGION, failureDomain: index % 2 === 0 ? 'klang-a' : 'klang-b', address: '' }))
-    this.listings.push({ since: this.time, snapshot: { version: this.listings.length, vms } })
+    this.listed = new Set([...ids, STABLE_NODE])
+    const vms = [...this.listed].map((vmId, index) => ({ vmId, role: VmRole.Entry, state: VmState.Live, region: vmId === STABLE_NODE ? OTHER_REGION : REGION, failureDomain: index % 2 === 0 ? 'klang-a' : 'klang-b', address: '' }))
+    this.listHistory.push({ since: this.time, snapshot: { version: this.listHistory.length, vms } })
   }
 
   updateListed (id: string): void {
@@ -165,11 +165,11 @@
     this.setListed([...next])
   }
 
-  /** Reads the list, possibly as it stood up to the lag ago. */
-  readList (node: WorldNode, lagSpanMs: number): void {
-    const asOf = this.time - Math.min(lagSpanMs, LIST_LAG_MS)
-    const seen = this.listings.findLast(({ since }) => since <= asOf) ?? this.listings[0]!
-    node.roster.observeList(seen.snapshot, node.now(), node.now())
+  /** Lets a node read the list as it was up to `LIST_LAG_MS` ago. */
+  readList (node: SimulatedNode, lagMs: number): void {
+    const asOf = this.time - Math.min(lagMs, LIST_LAG_MS)
+    const reading = this.listHistory.findLast(({ since }) => since <= asOf) ?? this.listHistory[0]!
+    node.roster.observeList(reading.snapshot, node.now(), node.now())
     node.update()
   }
 
@@ -177,20 +177,20 @@
     this.versions.push({ configuration: buildConfiguration(limits), limits })
   }
 
-  applyNewest (node: WorldNode): void {
+  applyNewest (node: SimulatedNode): void {
     node.version = this.versions.length - 1
     node.update()
   }
 
-  /** Sends one exchange; what `fate` says happens to either message. */
-  exchange (from: WorldNode, to: WorldNode, fate: number): void {
+  /** Sends a heartbeat and its answer; `fate` decides what happens to each of the two messages. */
+  exchange (from: SimulatedNode, to: SimulatedNode, fate: number): void {
     const { nodeId, incarnation } = from
     this.send(to.nodeId, fate, () => {
       to.division.observeProcess({ nodeId, incarnation })
       to.update()
       const answer = { incarnation: to.incarnation, stamp: to.findAcknowledged(), holdsLoan: to.ledger.listBorrowed().some((loan) => loan.lenderId === nodeId), listVersion: to.roster.listVersion, gone: to.roster.listGone() }
       this.send(nodeId, Math.floor(fate / 4), () => {
-        // The answer belongs to a call of one process; another never gets it.
+        // The answer belongs to a call of the previous process if the sender has restarted.
         if (from.incarnation !== incarnation) return
         from.barrier.observe({ nodeId: to.nodeId, ...answer })
         if (!from.barrier.isOpen) from.roster.holdGone(answer.gone, from.now())
@@ -202,8 +202,8 @@
     })
   }
 
-  /** One question for a loan; its answer is taken once and only while the call is open. */
-  borrow (from: WorldNode, to: WorldNode, spanMs: number, fate: number): void {
+  /** Sends a loan request; its answer is accepted once and only while the call is open. */
+  borrow (from: SimulatedNode, to: SimulatedNode, spanMs: number, fate: number): void {
     const { incarnation } = from
     const sentAt = from.now()
     const loanId = `loan-${this.nextLoan++}`
@@ -217,7 +217,7 @@
       const span = Math.floor(Math.max(0, answer.deadline - receivedAt))
       const lenderIncarnation = to.incarnation
       this.send(from.nodeId, Math.floor(fate / 4), () => {
-        // A lender that died has closed the connection; no answer comes of it.
+        // If the lender has restarted, its connection was closed and the answer never arrives.
         if (!isOpen || from.incarnation !== incarnation || to.incarnation !== lenderIncarnation || answer.slots === 0) return
         isOpen = false
         const deadline = sentAt + Math.min(span, spanMs) * (1 - CLOCK_RATE_MARGIN)
@@ -228,7 +228,7 @@
     })
   }
 
-  returnLoan (from: WorldNode, fate: number): void {
+  returnLoan (from: SimulatedNode, fate: number): void {
     const loan = from.ledger.listBorrowed().find(({ inUse }) => inUse === 0)
     if (loan === undefined) return
     from.ledger.removeLoan(loan.loanId)
@@ -236,21 +236,21 @@
     this.send(to.nodeId, fate, () => to.ledger.settleReturn({ borrowerId: from.nodeId, loanId: loan.loanId }, to.now()))
   }
 
-  startRequest (node: WorldNode, spanMs: number): void {
+  startRequest (node: SimulatedNode, spanMs: number): void {
     node.update()
-    const lasts = Math.min(spanMs, LONGEST_REQUEST_MS)
+    const durationMs = Math.min(spanMs, MAX_REQUEST_MS)
     for (const slotKey of this.slotKeys) {
-      const slot = node.ledger.take(slotKey, node.now() + lasts)
+      const slot = node.ledger.take(slotKey, node.now() + durationMs)
       if (slot === undefined) continue
-      this.running.push({ node, incarnation: node.incarnation, slot, endsAt: this.time + lasts / (1 + 2 * RATE_SPREAD) })
+      this.running.push({ node, incarnation: node.incarnation, slot, endsAt: this.time + durationMs / (1 + 2 * CLOCK_RATE_SPREAD_RATIO) })
       this.counts.started++
       if (slot.loan !== undefined) this.counts.startedOnLoan++
       return
     }
   }
 
-  stopAndStart (node: WorldNode): void {
-    if (node.nodeId === WITNESS) return
+  stopAndStart (node: SimulatedNode): void {
+    if (node.nodeId === STABLE_NODE) return
     this.running = this.running.filter((request) => request.node !== node)
     node.clearState()
   }
@@ -265,27 +265,31 @@
     for (const node of this.nodes) node.update()
   }
 
-  /** Delivers the message that has waited longest, or a copy of it. */
-  exchangeLate (isCopied: boolean): void {
+  /** Delivers the oldest delayed message; if `isCopied`, the message stays in the queue. */
+  deliverDelayed (isCopied: boolean): void {
     const message = isCopied ? this.messages[0] : this.messages.shift()
     message?.handle()
   }
 
-  /** @returns what exceeds its limit at this instant, or undefined */
+  /** @returns a description of a limit that is exceeded now, or undefined */
   findExcess (): string | undefined {
-    const oldest = Math.min(...this.nodes.flatMap((node) => node.division.boundStamps.slice(0, 1)).map((stamp) => this.versionByStamp.get(stamp) ?? Infinity), this.versions.length - 1)
-    const inForce = this.versions.slice(oldest).map(({ limits }) => limits)
-    const slots = Math.max(...inForce.map((limits) => limits.slots))
+    const oldestVersion = Math.min(...this.nodes.flatMap((node) => node.division.activeFingerprints.slice(0, 1)).map((stamp) => this.versionByFingerprint.get(stamp) ?? Infinity), this.versions.length - 1)
+    const activeLimits = this.versions.slice(oldestVersion).map(({ limits }) => limits)
+    const slots = Math.max(...activeLimits.map((limits) => limits.slots))
     for (const slotKey of this.slotKeys) {
       const used = this.running.filter((request) => request.slot.slotKey === slotKey).length
       if (used === slots) this.counts.full++
       if (used > slots) return `${slotKey}: ${used} of ${slots}`
     }
-    const most = Math.max(...inForce.map((limits) => limits.maxConcurrency ?? Infinity))
-    return this.running.length > most ? `the place: ${this.running.length} of ${most}` : undefined
+    const maxConcurrency = Math.max(...activeLimits.map((limits) => limits.maxConcurrency ?? Infinity))
+    return this.running.length > maxConcurrency ? `the place: ${this.running.length} of ${maxConcurrency}` : undefined
   }
 
-  /** 0 to 2 arrives at once, 3 waits for `exchangeLate`; 7 is lost, 6 comes at once and again later. */
+  /**
+   * Sends a message. By the remainder of `fate` divided by 8, it is delayed until
+   * {@link LimitSimulation.deliverDelayed} (3), delivered at once and once more
+   * later (6), lost (7), or delivered at once (otherwise).
+   */
   private send (to: string, fate: number, deliver: () => void): void {
     const kind = fate % 8
     if (kind === 7) return
