--- a/packages/steering/src/common/dedup/claimKeeper.ts
+++ b/packages/steering/src/common/dedup/claimKeeper.ts
@@ -1,7 +1,7 @@
 /**
- * Claims of Idempotency-Keys: at most one arrival of a key gets the right to
- * run, decided by create-if-absent and compare-and-swap in the store before
- * anything is sent. A lost answer is settled by reading the claim back.
+ * Claims of Idempotency-Keys. At most one request with a key may run; this is
+ * decided by create-if-absent and compare-and-swap in the store before anything is
+ * sent. If the answer to a write is lost, the claim is read back.
  */
 import type { IClock } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, getRemainingMs, hasPassed } from '@umberspar/base/common/deadline'
@@ -9,75 +9,76 @@
 import type { IRandomSource } from '@umberspar/base/common/random'
 import { Outcome } from '../state/outcome.js'
 import type { IKeyValueStore, StoredValue } from '../ports/keyValueStore.js'
-import { ClaimLeases, RETENTION_SECONDS } from './claimLeases.js'
+import { ClaimLeases, CLAIM_RETENTION_SECONDS } from './claimLeases.js'
 import { buildClaimKey, type ClaimRecord, ClaimState, decodeClaim, encodeClaim } from './claimRecord.js'
-import { ClaimSettler } from './claimSettler.js'
+import { ClaimFinalizer } from './claimSettler.js'
 import { ClaimDecision, decideClaim } from './decideClaim.js'
 import type { StoreCallBudget } from './storeCallBudget.js'
 
-/** How long a claim may take; beyond it the request is refused as not run, in milliseconds. */
-const CLAIM_SPAN = 1_000
-/** Claims are refused at once for so long after the store was out of reach, in milliseconds. */
-const REST_SPAN = 1_000
-/** Writes of one claim: lost answers and takeovers that another arrival won. */
-const MAX_WRITES = 3
-/** The claim's write and its end's write; more calls are taken when they are needed. */
-const CALLS_PER_CLAIM = 2
+/** If claiming takes longer, the request is rejected as not run. */
+const CLAIM_TIMEOUT_MS = 1_000
+/** For this long after the store was unavailable, requests are rejected without a store call. */
+const STORE_BACKOFF_MS = 1_000
+/** A claim is written again if an answer was lost, or if another request changed the stored claim first. */
+const MAX_WRITE_ATTEMPTS = 3
+/** One write for the claim and one for its final state; further calls are taken from the budget when needed. */
+const STORE_CALLS_PER_CLAIM = 2
 const MS_PER_SECOND = 1000
-/** How long the answer of a request that did not run waits for its claim's release, in milliseconds. */
-const RELEASE_SPAN = 500
-/** How long that may go on beyond the caller's deadline, in milliseconds. */
-const RELEASE_GRACE = 100
+/** How long the answer to a request that did not run is delayed until its claim is released. */
+const RELEASE_TIMEOUT_MS = 500
+/** How far that delay may exceed the caller's deadline. */
+const RELEASE_GRACE_MS = 100
 /**
- * A claimed request must have ended long before its claim lapses: a process that
- * was paused beyond the retention would otherwise send a request whose key has
- * been claimed and run again meanwhile.
+ * A claimed request must have ended long before its claim expires. Otherwise a
+ * process that was paused for longer than the retention could send a request whose
+ * key has been claimed and run again in the meantime.
  */
-const MAX_RUN_SPAN = RETENTION_SECONDS * MS_PER_SECOND / 6
+const MAX_RUN_MS = CLAIM_RETENTION_SECONDS * MS_PER_SECOND / 6
 
-/** An arrival that wants to run. */
+/** A request that asks for the right to run. */
 export interface ClaimRequest {
   readonly service: string
   /** Hash of the Idempotency-Key. */
   readonly keyHash: string
   /** Hash of method and path. */
   readonly fingerprint: string
-  /** Unique for this arrival. */
+  /** Unique to this request, also among requests with the same key. */
   readonly claimId: string
   readonly deadline: Deadline
 }
 
-/** How a claim ended. */
+/** Possible results of claiming a key. */
 export enum ClaimAnswerKind {
   Claimed = 'claimed',
-  /** The key was claimed before; see the decision. */
+  /** The key was claimed before; the decision says what that means for the request. */
   Refused = 'refused',
-  /** The store is out of reach. */
+  /** The store is unavailable. */
   StoreUnavailable = 'store-unavailable',
-  /** This node's rate of store calls is used up. */
+  /** This node has exceeded its rate limit for store calls. */
   OverRate = 'over-rate'
 }
 
-/** A claim that is ours: the request may run, once, until the deadline. */
+/** A claim held by this process: its request may run once, until the deadline. */
 export interface HeldClaim {
   readonly key: string
   readonly record: ClaimRecord
   readonly leaseId: string
+  /** Store revision at which the claim was written. */
   readonly modRevision: number
-  /** No byte may be sent later. */
+  /** No byte of the request may be sent to an upstream after this time. */
   readonly deadline: Deadline
 }
 
-/** How a claim ended, with details. */
+/** The result of claiming a key. */
 export type ClaimAnswer =
   | { readonly kind: ClaimAnswerKind.Claimed, readonly claim: HeldClaim }
   | { readonly kind: ClaimAnswerKind.Refused, readonly decision: Exclude<ClaimDecision, ClaimDecision.TakeOver>, readonly existing: ClaimRecord | undefined }
   | { readonly kind: ClaimAnswerKind.OverRate }
-  /** `isReleased`: no claim of this arrival stands in the store, or can arrive there any more. */
+  /** `isReleased`: the store contains no claim of this request, and no write in flight can still add one. */
   | { readonly kind: ClaimAnswerKind.StoreUnavailable, readonly isReleased: boolean }
 
-/** What the keeper needs. */
-export interface ClaimKeeperParts {
+/** Dependencies of {@link ClaimKeeper}. */
+export interface ClaimKeeperDependencies {
   readonly store: IKeyValueStore
   readonly clock: IClock
   readonly random: IRandomSource
@@ -85,22 +86,23 @@
   readonly keyPrefix: string
   readonly nodeId: string
   readonly incarnation: number
-  /** Told of every store call that is made. */
+  /** Called for every store call. */
   readonly onCall: () => void
 }
 
-/** What one try at the key showed. */
+/** The result of one attempt to write a claim; `again` asks for another one at the expected revision. */
 type WriteResult =
   | { readonly kind: 'claimed', readonly modRevision: number }
   | { readonly kind: 'again', readonly expected: number }
   | { readonly kind: 'refused', readonly decision: Exclude<ClaimDecision, ClaimDecision.TakeOver>, readonly existing: ClaimRecord | undefined }
   | { readonly kind: 'failed' }
 
-/** A claim on its way: what is written, and whether a write without an answer may still arrive. */
-interface OpenClaim {
+/** A claim that is being written. */
+interface ClaimAttempt {
   readonly key: string
   readonly record: ClaimRecord
   readonly leaseId: string
+  /** Whether the answer to a write was lost, so that the write may have been applied or may still be. */
   isUncertain: boolean
 }
 
@@ -110,96 +112,97 @@
   [Outcome.Unknown]: ClaimState.Unknown
 }
 
-/** Makes claims and records their ends. */
+/** Claims keys and records the final states of claims. */
 export class ClaimKeeper {
   private readonly leases: ClaimLeases
-  private readonly settler: ClaimSettler
-  private restsUntil = -Infinity
+  private readonly finalizer: ClaimFinalizer
+  private backoffUntil = -Infinity
 
-  constructor (private readonly parts: ClaimKeeperParts) {
-    this.leases = new ClaimLeases(parts.store, parts.clock)
-    this.settler = new ClaimSettler(parts)
+  constructor (private readonly dependencies: ClaimKeeperDependencies) {
+    this.leases = new ClaimLeases(dependencies.store, dependencies.clock)
+    this.finalizer = new ClaimFinalizer(dependencies)
   }
 
-  /** @returns ends of claims that the store may not know yet */
+  /** @returns the number of claims whose final state may not have been written to the store yet */
   get pendingEnds (): number {
-    return this.settler.size
+    return this.finalizer.size
   }
 
   /**
-   * Claims a key before anything is sent.
-   * @param request the arrival
-   * @returns the claim, or why the request must not run; nothing has run then
+   * Claims the key of a request before anything is sent to an upstream.
+   * @param request the request
+   * @returns the claim, or the reason why the request must not run; in that case nothing has run
    */
   async claim (request: ClaimRequest): Promise<ClaimAnswer> {
-    const { clock, calls } = this.parts
+    const { clock, calls } = this.dependencies
     const now = clock.now()
-    if (!hasPassed(this.restsUntil, now)) return { kind: ClaimAnswerKind.StoreUnavailable, isReleased: true }
-    if (!calls.take(CALLS_PER_CLAIM)) return { kind: ClaimAnswerKind.OverRate }
-    const deadline = Math.min(request.deadline, createDeadline(now, CLAIM_SPAN))
+    if (!hasPassed(this.backoffUntil, now)) return { kind: ClaimAnswerKind.StoreUnavailable, isReleased: true }
+    if (!calls.take(STORE_CALLS_PER_CLAIM)) return { kind: ClaimAnswerKind.OverRate }
+    const deadline = Math.min(request.deadline, createDeadline(now, CLAIM_TIMEOUT_MS))
     const leaseId = await this.getLease(deadline)
     if (leaseId === undefined) {
-      this.startRest()
-      calls.release(CALLS_PER_CLAIM)
+      this.startBackoff()
+      calls.release(STORE_CALLS_PER_CLAIM)
       return { kind: ClaimAnswerKind.StoreUnavailable, isReleased: true }
     }
-    const runUntil = Math.min(request.deadline, createDeadline(now, MAX_RUN_SPAN))
-    const open = { key: buildClaimKey(this.parts.keyPrefix, request.service, request.keyHash), record: this.buildRecord(request, runUntil), leaseId, isUncertain: false }
-    const answer = await this.writeUntilDecided(open, deadline)
-    if (answer.kind !== 'claimed') return await this.handleUnclaimed(open, answer, request.deadline)
-    return { kind: ClaimAnswerKind.Claimed, claim: { key: open.key, record: open.record, leaseId, modRevision: answer.modRevision, deadline: runUntil } }
+    const runUntil = Math.min(request.deadline, createDeadline(now, MAX_RUN_MS))
+    const attempt = { key: buildClaimKey(this.dependencies.keyPrefix, request.service, request.keyHash), record: this.buildRecord(request, runUntil), leaseId, isUncertain: false }
+    const result = await this.writeUntilDecided(attempt, deadline)
+    if (result.kind !== 'claimed') return await this.handleFailedClaim(attempt, result, request.deadline)
+    return { kind: ClaimAnswerKind.Claimed, claim: { key: attempt.key, record: attempt.record, leaseId, modRevision: result.modRevision, deadline: runUntil } }
   }
 
   /**
-   * Records how a claimed request ended that ran or may have run; its answer need
-   * not wait. Every claim is finished or released exactly once.
+   * Records the outcome of a claimed request that ran or may have run. The answer to
+   * the caller doesn't have to wait for the write. Every claim is finished or released
+   * exactly once.
    * @param claim the claim
-   * @param outcome how the request ended
-   * @param status the upstream's status, if it answered
+   * @param outcome outcome of the request
+   * @param status the upstream's status code, if it answered
    */
   finish (claim: HeldClaim, outcome: Outcome.Done | Outcome.Unknown, status?: number): void {
-    this.pushEnd(claim, { ...claim.record, state: STATE_BY_OUTCOME[outcome], ...(status === undefined ? {} : { status }) })
+    this.saveFinalState(claim, { ...claim.record, state: STATE_BY_OUTCOME[outcome], ...(status === undefined ? {} : { status }) })
   }
 
   /**
-   * Frees the key of a request that is proven not to have run. Its caller may send
-   * it again the moment it is told so, to another entry VM: if the answer left
-   * before the release was written, the repetition would find the key running and
-   * be told `unknown` of a request that never ran.
+   * Releases the key of a request that is known not to have run. The caller may
+   * retry as soon as it has the answer, possibly at another entry VM. If the answer
+   * were sent before the release is written, the retry would find the key claimed and
+   * be answered with `unknown`, although the request never ran.
    * @param claim the claim
-   * @param deadline the caller's
-   * @returns whether the store has the release; if not, it goes on being written
+   * @param deadline the caller's deadline
+   * @returns whether the release is known to be written; if not, writing it is retried in the background
    */
   async release (claim: HeldClaim, deadline: Deadline): Promise<boolean> {
-    return await this.waitForRelease(this.pushEnd(claim, { ...claim.record, state: ClaimState.NotRun }), deadline)
+    return await this.waitForRelease(this.saveFinalState(claim, { ...claim.record, state: ClaimState.NotRun }), deadline)
   }
 
   /**
-   * Tries once more to write the ends that the store does not know.
-   * @param deadline by when to give up
-   * @returns settled when the tries have ended
+   * Tries once more to write all final states that are pending.
+   * @param deadline when to give up
+   * @returns a promise that settles when these attempts have ended
    */
   settle (deadline: Deadline): Promise<void> {
-    return this.settler.settle(deadline)
+    return this.finalizer.settle(deadline)
   }
 
-  /** Stops writing. */
+  /** Stops writing final states. */
   close (): void {
-    this.settler.close()
+    this.finalizer.close()
   }
 
-  private pushEnd ({ key, leaseId, modRevision }: HeldClaim, record: ClaimRecord): Promise<boolean> {
-    return this.settler.push({ key, record, leaseId, modRevision })
+  private saveFinalState ({ key, leaseId, modRevision }: HeldClaim, record: ClaimRecord): Promise<boolean> {
+    return this.finalizer.push({ key, record, leaseId, modRevision })
   }
 
-  /** Waits a short while only: an answer that is known must not be held back by a store that is out of reach. */
-  private waitForRelease (written: Promise<boolean>, deadline: Deadline): Promise<boolean> {
-    const { clock } = this.parts
+  /** Waits only briefly, so that an unavailable store doesn't delay the answer to the caller. */
+  private waitForRelease (release: Promise<boolean>, deadline: Deadline): Promise<boolean> {
+    const { clock } = this.dependencies
     const now = clock.now()
-    const giveUpAt = Math.min(createDeadline(now, RELEASE_SPAN), Math.max(now, deadline) + RELEASE_GRACE)
+    const giveUpAt = Math.min(createDeadline(now, RELEASE_TIMEOUT_MS), Math.max(now, deadline) + RELEASE_GRACE_MS)
     return new Promise((resolve) => {
       const timer = clock.schedule(giveUpAt, () => resolve(false))
-      written.then((isWritten) => {
+      release.then((isWritten) => {
         timer.close()
         resolve(isWritten)
       }, () => resolve(false))
@@ -207,81 +210,81 @@
   }
 
   private async getLease (deadline: Deadline): Promise<string | undefined> {
-    if (!this.leases.isOpen) this.parts.onCall()
+    if (!this.leases.hasUsableLease) this.dependencies.onCall()
     const lease = await this.leases.getLease(deadline)
     return lease.ok ? lease.val : undefined
   }
 
   private buildRecord (request: ClaimRequest, runUntil: Deadline): ClaimRecord {
-    const { clock, nodeId, incarnation } = this.parts
+    const { clock, nodeId, incarnation } = this.dependencies
     const endsByWallMs = clock.getWallTime() + getRemainingMs(runUntil, clock.now())
     return { claimId: request.claimId, fingerprint: request.fingerprint, nodeId, incarnation, state: ClaimState.Running, endsByWallMs }
   }
 
-  private async writeUntilDecided (open: OpenClaim, deadline: Deadline): Promise<Exclude<WriteResult, { kind: 'again' }>> {
-    let expected = 0
-    for (let writes = 0; writes < MAX_WRITES; writes++) {
-      if (hasPassed(deadline, this.parts.clock.now())) break
-      const result = await this.writeOnce(open, expected, deadline)
+  private async writeUntilDecided (attempt: ClaimAttempt, deadline: Deadline): Promise<Exclude<WriteResult, { kind: 'again' }>> {
+    let expectedRevision = 0
+    for (let writeCount = 0; writeCount < MAX_WRITE_ATTEMPTS; writeCount++) {
+      if (hasPassed(deadline, this.dependencies.clock.now())) break
+      const result = await this.writeOnce(attempt, expectedRevision, deadline)
       if (result.kind !== 'again') return result
-      expected = result.expected
+      expectedRevision = result.expected
     }
     return { kind: 'failed' }
   }
 
-  private async writeOnce (open: OpenClaim, expected: number, deadline: Deadline): Promise<WriteResult> {
-    const { key, record, leaseId } = open
-    this.parts.onCall()
-    const written = await this.parts.store.transact({
-      conditions: [{ key, modRevision: expected }],
+  private async writeOnce (attempt: ClaimAttempt, expectedRevision: number, deadline: Deadline): Promise<WriteResult> {
+    const { key, record, leaseId } = attempt
+    this.dependencies.onCall()
+    const written = await this.dependencies.store.transact({
+      conditions: [{ key, modRevision: expectedRevision }],
       writes: [{ kind: 'put', key, value: encodeClaim(record), leaseId }]
     }, deadline)
     if (written.ok && written.val.isApplied) return { kind: 'claimed', modRevision: written.val.revision }
     if (!written.ok) {
       if (written.val.code === ErrorCode.NotFound) this.leases.removeLease(leaseId)
       if (written.val.code !== ErrorCode.EffectUnknown) return { kind: 'failed' }
-      open.isUncertain = true
+      attempt.isUncertain = true
     }
-    return await this.readBack(open, deadline)
+    return await this.readBack(attempt, deadline)
   }
 
-  /** Reads the claim that stands, after a write that was not applied or whose answer was lost. */
-  private async readBack (open: OpenClaim, deadline: Deadline): Promise<WriteResult> {
-    this.parts.calls.take(1)
-    this.parts.onCall()
-    const read = await this.parts.store.get(open.key, deadline)
+  /** Reads the stored claim after a write that was not applied or whose answer was lost. */
+  private async readBack (attempt: ClaimAttempt, deadline: Deadline): Promise<WriteResult> {
+    this.dependencies.calls.take(1)
+    this.dependencies.onCall()
+    const read = await this.dependencies.store.get(attempt.key, deadline)
     if (!read.ok) return { kind: 'failed' }
-    // The same claim id may be written again: only one of the writes can apply.
+    // Writing the same claim id again is safe, since only one of the writes can be applied.
     if (read.val === undefined) return { kind: 'again', expected: 0 }
-    return this.decideStored(open, read.val)
+    return this.decideStored(attempt, read.val)
   }
 
-  private decideStored (open: OpenClaim, stored: StoredValue): WriteResult {
+  private decideStored (attempt: ClaimAttempt, stored: StoredValue): WriteResult {
     const existing = decodeClaim(stored.value)
     if (existing === undefined) return { kind: 'refused', decision: ClaimDecision.OutcomeUnknown, existing }
-    if (existing.claimId === open.record.claimId) return { kind: 'claimed', modRevision: stored.modRevision }
-    // This process may know the end of its own earlier claim before the store does.
-    const known = this.settler.find(existing.claimId) ?? existing
-    const decision = decideClaim(known, open.record.fingerprint, this.parts.clock.getWallTime())
+    if (existing.claimId === attempt.record.claimId) return { kind: 'claimed', modRevision: stored.modRevision }
+    // The final state of an earlier claim of this process may not have been written yet.
+    const latest = this.finalizer.find(existing.claimId) ?? existing
+    const decision = decideClaim(latest, attempt.record.fingerprint, this.dependencies.clock.getWallTime())
     if (decision === ClaimDecision.TakeOver) return { kind: 'again', expected: stored.modRevision }
-    return { kind: 'refused', decision, existing: known }
+    return { kind: 'refused', decision, existing: latest }
   }
 
-  private async handleUnclaimed (open: OpenClaim, result: Exclude<WriteResult, { kind: 'again' | 'claimed' }>, deadline: Deadline): Promise<ClaimAnswer> {
-    // The end's write, paid for in advance, is needed only for an uncertain claim.
-    if (result.kind === 'refused' || !open.isUncertain) this.parts.calls.release(1)
+  private async handleFailedClaim (attempt: ClaimAttempt, result: Exclude<WriteResult, { kind: 'again' | 'claimed' }>, deadline: Deadline): Promise<ClaimAnswer> {
+    // The store call reserved for the final state is needed only if a write is uncertain.
+    if (result.kind === 'refused' || !attempt.isUncertain) this.dependencies.calls.release(1)
     if (result.kind === 'refused') return { kind: ClaimAnswerKind.Refused, decision: result.decision, existing: result.existing }
-    this.startRest()
-    if (!open.isUncertain) return { kind: ClaimAnswerKind.StoreUnavailable, isReleased: true }
-    // The write may have been applied, or may be later. The caller is told that
-    // nothing ran, which is true; the claim's end is written so that a
-    // repetition is not refused because of it.
-    const record = { ...open.record, state: ClaimState.NotRun }
-    const written = this.settler.push({ key: open.key, record, leaseId: open.leaseId, modRevision: 0 })
-    return { kind: ClaimAnswerKind.StoreUnavailable, isReleased: await this.waitForRelease(written, deadline) }
+    this.startBackoff()
+    if (!attempt.isUncertain) return { kind: ClaimAnswerKind.StoreUnavailable, isReleased: true }
+    // The write may have been applied, or may still be. The caller is told that the
+    // request did not run; the claim is also marked as not run, so that it doesn't
+    // block a retry.
+    const record = { ...attempt.record, state: ClaimState.NotRun }
+    const release = this.finalizer.push({ key: attempt.key, record, leaseId: attempt.leaseId, modRevision: 0 })
+    return { kind: ClaimAnswerKind.StoreUnavailable, isReleased: await this.waitForRelease(release, deadline) }
   }
 
-  private startRest (): void {
-    this.restsUntil = createDeadline(this.parts.clock.now(), REST_SPAN)
+  private startBackoff (): void {
+    this.backoffUntil = createDeadline(this.dependencies.clock.now(), STORE_BACKOFF_MS)
   }
 }
--- a/packages/steering/src/common/dedup/claimRecord.ts
+++ b/packages/steering/src/common/dedup/claimRecord.ts
@@ -1,47 +1,47 @@
-/** What the store holds for one Idempotency-Key of a service. */
+/** The record that the store holds for one Idempotency-Key of a service. */
 import { z } from 'zod'
 
-/** How far the claimed request has come. */
+/** The state of a claimed request. */
 export enum ClaimState {
-  /** The claiming node may send it, or has. */
+  /** The claiming node may send it or has sent it. */
   Running = 'running',
-  /** An upstream's answer was passed on. */
+  /** An upstream answered, and its answer was forwarded to the caller. */
   Done = 'done',
-  /** Proven not to have run: the key may be claimed again. */
+  /** Known not to have run: the key may be claimed again. */
   NotRun = 'not-run',
-  /** It may have run, and nobody will learn more. */
+  /** It may have run; its outcome can't be determined any more. */
   Unknown = 'unknown'
 }
 
 const claimSchema = z.object({
-  /** Random, one for each arrival: tells our own claim when its answer was lost. */
+  /** Random and unique to each request; identifies a claim of one's own after the answer to its write was lost. */
   claimId: z.string().min(1),
   /** Hash of method and path. */
   fingerprint: z.string(),
   nodeId: z.string(),
-  /** The claiming process; a restarted node has a higher one. */
+  /** Identifies the claiming process; increases with every start of the node. */
   incarnation: z.number(),
   state: z.enum(ClaimState),
-  /** Wall time by which the request has ended if its node lives. */
+  /** Wall clock time by which the request has ended, unless its node failed. */
   endsByWallMs: z.number(),
-  /** The upstream's status, once done. */
+  /** The upstream's status code, if the request is done. */
   status: z.number().int().optional()
 })
 
-/** One claim. */
+/** A claim as stored. */
 export type ClaimRecord = z.output<typeof claimSchema>
 
 /**
  * @param record a claim
- * @returns the store's value
+ * @returns the value to store
  */
 export function encodeClaim (record: ClaimRecord): Uint8Array {
   return new TextEncoder().encode(JSON.stringify(record))
 }
 
 /**
- * @param value the store's value
- * @returns the claim, or undefined if the value is none
+ * @param value a stored value
+ * @returns the claim; undefined if the value is not a valid claim
  */
 export function decodeClaim (value: Uint8Array): ClaimRecord | undefined {
   try {
@@ -52,10 +52,10 @@
 }
 
 /**
- * @param keyPrefix the deployment's prefix, ending in `/`
- * @param service a service's name
- * @param keyHash hash of the caller's Idempotency-Key, proof against collisions made on purpose
- * @returns the store's key of the claim
+ * @param keyPrefix prefix of all keys of the deployment, ending in `/`
+ * @param service name of the service
+ * @param keyHash collision-resistant hash of the caller's Idempotency-Key
+ * @returns the claim's key in the store
  */
 export function buildClaimKey (keyPrefix: string, service: string, keyHash: string): string {
   return `${keyPrefix}dedup/${service}/${keyHash}`
--- a/packages/steering/src/common/dedup/claimSettler.ts
+++ b/packages/steering/src/common/dedup/claimSettler.ts
@@ -1,8 +1,8 @@
 /**
- * Writes the ends of claims to the store, and goes on trying while the store is
- * out of reach. Until an end is written, the store says `running`, which every
- * node refuses; a node that dies with unwritten ends leaves claims that are
- * refused as unknown. Neither ever lets a request run twice.
+ * Writes the final states of claims to the store, and retries while the store is
+ * unavailable. Until a final state is written, the stored claim is `running`, so every
+ * node refuses further requests with its key. If a node fails before it has written
+ * it, they are refused as `unknown` later on. In neither case does a request run twice.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
@@ -12,161 +12,162 @@
 import { type ClaimRecord, decodeClaim, encodeClaim } from './claimRecord.js'
 import type { StoreCallBudget } from './storeCallBudget.js'
 
-/** Ends that wait for the store; beyond this the oldest is given up, and its claim stays `running`. */
-const MAX_PENDING = 10_000
-/** How long one write may take, in milliseconds. */
-const WRITE_SPAN = 2_000
-/** The pause before ends that could not be written are tried again, in milliseconds. */
-const PAUSE_SPAN = 1_000
-const PAUSE_JITTER = 0.5
-/** Ends tried in one round, so that a store that has come back is not flooded. */
-const ROUND_SIZE = 32
-/** A write and, if it was not applied or its answer was lost, a read. */
-const CALLS_PER_TRY = 2
-/** Writes in a row; a second one only if the store was read in between and said what it needs. */
-const MAX_WRITES = 2
-
-/** The end of a claim, on its way to the store. */
-export interface ClaimEnd {
+/** Beyond this the oldest pending claim is dropped and stays `running` in the store. */
+const MAX_PENDING_CLAIMS = 10_000
+const WRITE_TIMEOUT_MS = 2_000
+const RETRY_DELAY_MS = 1_000
+const RETRY_JITTER_RATIO = 0.5
+/** Limits the load on a store that has just become available again. */
+const MAX_RETRIES_PER_ROUND = 32
+/** One write and, if it was not applied or its answer was lost, one read. */
+const STORE_CALLS_PER_RETRY = 2
+/** Without a delay in between, a write is repeated only if a read returned the revision that it needs. */
+const MAX_WRITE_ATTEMPTS = 2
+
+/** A claim in its final state, to be written to the store. */
+export interface FinalClaim {
   readonly key: string
-  /** The claim as it shall stand. */
+  /** The claim as it is to be stored. */
   readonly record: ClaimRecord
   readonly leaseId: string
-  /** The revision at which the claim is known to stand; 0 if it is not known to be there. */
+  /** The last known store revision of the claim; 0 if it is not known to be stored. */
   readonly modRevision: number
 }
 
-/** What the settler needs. */
-export interface ClaimSettlerParts {
+/** Dependencies of {@link ClaimFinalizer}. */
+export interface ClaimFinalizerDependencies {
   readonly store: IKeyValueStore
   readonly clock: IClock
   readonly random: IRandomSource
   readonly calls: StoreCallBudget
-  /** Told of every store call that is made. */
+  /** Called for every store call. */
   readonly onCall: () => void
 }
 
-/** Ends of this node's claims that the store may not know yet. */
-export class ClaimSettler {
-  private readonly pending = new Map<string, ClaimEnd>()
-  private readonly underWay = new Set<Promise<boolean>>()
+/** Writes the final states of this node's claims. */
+export class ClaimFinalizer {
+  /** Claims whose final state may not have been written yet, by claim id. */
+  private readonly pending = new Map<string, FinalClaim>()
+  private readonly inFlight = new Set<Promise<boolean>>()
   private timer: ITimer | undefined
   private isClosed = false
 
-  constructor (private readonly parts: ClaimSettlerParts) {}
+  constructor (private readonly dependencies: ClaimFinalizerDependencies) {}
 
-  /** @returns ends that are not written yet */
+  /** @returns the number of claims whose final state may not have been written yet */
   get size (): number {
     return this.pending.size
   }
 
   /**
-   * @param claimId of a claim of this process
-   * @returns its end, if the store may not know it yet
+   * @param claimId id of a claim of this process
+   * @returns the claim in its final state, if that may not have been written yet
    */
   find (claimId: string): ClaimRecord | undefined {
     return this.pending.get(claimId)?.record
   }
 
   /**
-   * Writes an end now, and again later if that fails. The first write is paid
-   * for by the claim; later ones wait for their part of the store's rate.
-   * @param end the claim's end
-   * @returns settled after the first try: whether the store is known to have the end
+   * Writes the final state of a claim, and retries later if that fails. The store call
+   * of the first attempt was reserved when the key was claimed; retries wait until the
+   * budget allows their calls.
+   * @param claim the claim in its final state
+   * @returns whether the state is known to be written, after the first attempt
    */
-  push (end: ClaimEnd): Promise<boolean> {
+  push (claim: FinalClaim): Promise<boolean> {
     const oldest = this.pending.keys().next()
-    if (this.pending.size >= MAX_PENDING && oldest.done !== true) this.pending.delete(oldest.value)
-    this.pending.set(end.record.claimId, end)
-    return this.start(end, createDeadline(this.parts.clock.now(), WRITE_SPAN))
+    if (this.pending.size >= MAX_PENDING_CLAIMS && oldest.done !== true) this.pending.delete(oldest.value)
+    this.pending.set(claim.record.claimId, claim)
+    return this.startWrite(claim, createDeadline(this.dependencies.clock.now(), WRITE_TIMEOUT_MS))
   }
 
   /**
-   * Tries everything that is pending once more.
-   * @param deadline by when to give up
-   * @returns settled when all tries have ended
+   * Tries once more to write all pending claims.
+   * @param deadline when to give up
+   * @returns a promise that settles when all attempts have ended
    */
   async settle (deadline: Deadline): Promise<void> {
-    for (const end of [...this.pending.values()]) this.start(end, deadline)
-    await Promise.all(this.underWay)
+    for (const claim of [...this.pending.values()]) this.startWrite(claim, deadline)
+    await Promise.all(this.inFlight)
   }
 
-  /** Stops trying; what is pending stays `running` in the store. */
+  /** Stops retrying; pending claims stay `running` in the store. */
   close (): void {
     this.isClosed = true
     this.timer?.close()
     this.pending.clear()
   }
 
-  private start (end: ClaimEnd, deadline: Deadline): Promise<boolean> {
-    const work = this.write(end, deadline).finally(() => { this.underWay.delete(work) })
-    this.underWay.add(work)
-    return work
+  private startWrite (claim: FinalClaim, deadline: Deadline): Promise<boolean> {
+    const pendingWrite = this.write(claim, deadline).finally(() => { this.inFlight.delete(pendingWrite) })
+    this.inFlight.add(pendingWrite)
+    return pendingWrite
   }
 
-  private async write (end: ClaimEnd, deadline: Deadline): Promise<boolean> {
-    const { claimId } = end.record
-    let current = end
-    for (let writes = 0; writes < MAX_WRITES; writes++) {
+  private async write (claim: FinalClaim, deadline: Deadline): Promise<boolean> {
+    const { claimId } = claim.record
+    let current = claim
+    for (let writeCount = 0; writeCount < MAX_WRITE_ATTEMPTS; writeCount++) {
       if (await this.writeOnce(current, deadline)) {
         this.pending.delete(claimId)
         return true
       }
       const next = this.pending.get(claimId)
-      // Nothing was learned: the store is out of reach, and is left alone for a while.
+      // No new revision was read, so the store is unavailable; retry after a delay.
       if (next === undefined || next === current) break
       current = next
     }
-    this.scheduleRound()
+    this.scheduleRetries()
     return false
   }
 
-  /** @returns whether the store knows the end, or can never need it */
-  private async writeOnce (end: ClaimEnd, deadline: Deadline): Promise<boolean> {
-    const { key, record, leaseId, modRevision } = end
-    this.parts.onCall()
-    const written = await this.parts.store.transact({
+  /** @returns whether the final state is written, or no longer needs to be */
+  private async writeOnce (claim: FinalClaim, deadline: Deadline): Promise<boolean> {
+    const { key, record, leaseId, modRevision } = claim
+    this.dependencies.onCall()
+    const written = await this.dependencies.store.transact({
       conditions: [{ key, modRevision }],
       writes: [{ kind: 'put', key, value: encodeClaim(record), leaseId }]
     }, deadline)
     if (written.ok && written.val.isApplied) return true
-    // The lease has lapsed and the claim with it: its retention is over.
+    // The lease has expired and the claim with it: its retention is over.
     if (!written.ok && written.val.code === ErrorCode.NotFound) return true
     if (!written.ok && written.val.code !== ErrorCode.EffectUnknown) return false
-    return await this.compareWithStore(end, deadline)
+    return await this.compareWithStore(claim, deadline)
   }
 
-  /** Settles a lost answer, or a claim that stands at another revision than was thought. */
-  private async compareWithStore (end: ClaimEnd, deadline: Deadline): Promise<boolean> {
-    this.parts.onCall()
-    const read = await this.parts.store.get(end.key, deadline)
+  /** Reads the stored claim after the answer to a write was lost or the write's expected revision was wrong. */
+  private async compareWithStore (claim: FinalClaim, deadline: Deadline): Promise<boolean> {
+    this.dependencies.onCall()
+    const read = await this.dependencies.store.get(claim.key, deadline)
     if (!read.ok) return false
     const existing = read.val === undefined ? undefined : decodeClaim(read.val.value)
-    const isOurs = existing?.claimId === end.record.claimId
-    if (isOurs && existing.state === end.record.state) return true
-    if (read.val !== undefined && !isOurs) return true
-    // Ours, or not there: a create whose answer was lost can still arrive at the
-    // store. Writing the end in its place makes its condition fail.
-    this.pending.set(end.record.claimId, { ...end, modRevision: read.val?.modRevision ?? 0 })
+    const isOwnClaim = existing?.claimId === claim.record.claimId
+    if (isOwnClaim && existing.state === claim.record.state) return true
+    if (read.val !== undefined && !isOwnClaim) return true
+    // The claim is this process's own or missing. If it is missing, a create whose
+    // answer was lost can still reach the store; writing the final state in its place
+    // makes the condition of that create fail.
+    this.pending.set(claim.record.claimId, { ...claim, modRevision: read.val?.modRevision ?? 0 })
     return false
   }
 
-  private scheduleRound (): void {
+  private scheduleRetries (): void {
     if (this.timer !== undefined || this.isClosed) return
-    const { clock, random } = this.parts
-    const at = createDeadline(clock.now(), addJitter(random, PAUSE_SPAN, PAUSE_JITTER))
+    const { clock, random } = this.dependencies
+    const at = createDeadline(clock.now(), addJitter(random, RETRY_DELAY_MS, RETRY_JITTER_RATIO))
     this.timer = clock.schedule(at, () => {
       this.timer = undefined
-      this.runRound()
+      this.runRetries()
     })
   }
 
-  private runRound (): void {
-    const deadline = createDeadline(this.parts.clock.now(), WRITE_SPAN)
-    for (const end of [...this.pending.values()].slice(0, ROUND_SIZE)) {
-      if (!this.parts.calls.take(CALLS_PER_TRY)) break
-      this.start(end, deadline)
+  private runRetries (): void {
+    const deadline = createDeadline(this.dependencies.clock.now(), WRITE_TIMEOUT_MS)
+    for (const claim of [...this.pending.values()].slice(0, MAX_RETRIES_PER_ROUND)) {
+      if (!this.dependencies.calls.take(STORE_CALLS_PER_RETRY)) break
+      this.startWrite(claim, deadline)
     }
-    if (this.pending.size > 0) this.scheduleRound()
+    if (this.pending.size > 0) this.scheduleRetries()
   }
 }
--- a/packages/steering/src/common/dedup/storeCallBudget.ts
+++ b/packages/steering/src/common/dedup/storeCallBudget.ts
@@ -1,62 +1,63 @@
-/** This node's part of the store calls that deduplication may make. */
+/** Limits the rate of this node's store calls for deduplication. */
 import type { IClock, Instant } from '@umberspar/base/common/clock'
 
 /**
- * Calls a second of all nodes together. The store takes several hundred writes a
- * second, and configuration, plan and leases need their room in it.
+ * Limit for all nodes together. The store handles several hundred writes a second, and
+ * must have capacity left for configuration, plan and leases.
  */
 export const FLEET_CALLS_PER_SECOND = 240
-/** A node that was idle may make its calls of so many seconds at once. */
+/** Capacity of the token bucket in seconds of the node's rate. */
 const BURST_SECONDS = 5
-const LEAST_BURST = 4
+const MIN_BURST_CALLS = 4
 const MS_PER_SECOND = 1000
 
-/** A bucket of calls whose rate follows the number of nodes. */
+/** A token bucket of store calls whose rate depends on the number of nodes. */
 export class StoreCallBudget {
-  private calls: number
-  private filledAt: Instant
+  private availableCalls: number
+  private refilledAt: Instant
 
   /**
-   * @param clock for the rate
-   * @param countNodes entry VMs that share the store
-   * @param fleetRate calls a second of all nodes together
+   * @param clock clock by which the bucket is refilled
+   * @param countNodes returns the number of entry VMs that share the store
+   * @param fleetCallsPerSecond limit for all nodes together
    */
-  constructor (private readonly clock: IClock, private readonly countNodes: () => number, private readonly fleetRate = FLEET_CALLS_PER_SECOND) {
-    this.calls = this.getBurst()
-    this.filledAt = clock.now()
+  constructor (private readonly clock: IClock, private readonly countNodes: () => number, private readonly fleetCallsPerSecond = FLEET_CALLS_PER_SECOND) {
+    this.availableCalls = this.getBurst()
+    this.refilledAt = clock.now()
   }
 
   /**
-   * @param count calls that are about to be made
-   * @returns false if the rate allows fewer now; nothing is taken then
+   * Takes calls from the budget before they are made.
+   * @param count number of calls
+   * @returns whether they were taken; if fewer are available, none are
    */
   take (count: number): boolean {
-    this.updateCalls()
-    if (this.calls < count) return false
-    this.calls -= count
+    this.updateAvailableCalls()
+    if (this.availableCalls < count) return false
+    this.availableCalls -= count
     return true
   }
 
   /**
-   * Gives back calls that were not needed.
-   * @param count as taken before
+   * Returns calls that were taken but not made.
+   * @param count number of calls
    */
   release (count: number): void {
-    this.calls = Math.min(this.getBurst(), this.calls + count)
+    this.availableCalls = Math.min(this.getBurst(), this.availableCalls + count)
   }
 
   private getRate (): number {
-    return this.fleetRate / Math.max(1, this.countNodes())
+    return this.fleetCallsPerSecond / Math.max(1, this.countNodes())
   }
 
   private getBurst (): number {
-    return Math.max(LEAST_BURST, this.getRate() * BURST_SECONDS)
+    return Math.max(MIN_BURST_CALLS, this.getRate() * BURST_SECONDS)
   }
 
-  private updateCalls (): void {
+  private updateAvailableCalls (): void {
     const now = this.clock.now()
-    const earned = this.getRate() * (now - this.filledAt) / MS_PER_SECOND
-    this.calls = Math.min(this.getBurst(), this.calls + earned)
-    this.filledAt = now
+    const refill = this.getRate() * (now - this.refilledAt) / MS_PER_SECOND
+    this.availableCalls = Math.min(this.getBurst(), this.availableCalls + refill)
+    this.refilledAt = now
   }
 }
