--- a/packages/steering/src/common/spread/spreadNode.ts
+++ b/packages/steering/src/common/spread/spreadNode.ts
@@ -1,6 +1,6 @@
-/** What the spread of documents needs to know of an entry VM. */
+/** The location of entry VMs, as needed for distributing documents to them. */
 
-/** One entry VM. */
+/** An entry VM and its region. */
 export interface SpreadNode {
   readonly nodeId: string
   readonly region: string
@@ -8,9 +8,9 @@
 
 /**
  * @param nodes entry VMs
- * @param region which region
- * @returns the ids of those in the region, in the order given
+ * @param region a region
+ * @returns ids of the entry VMs in the region, in the given order
  */
-export function listNodeIdsOf (nodes: readonly SpreadNode[], region: string): string[] {
+export function listNodeIdsInRegion (nodes: readonly SpreadNode[], region: string): string[] {
   return nodes.filter((node) => node.region === region).map((node) => node.nodeId)
 }
