--- a/packages/steering/src/common/limits/kindLimits.ts
+++ b/packages/steering/src/common/limits/kindLimits.ts
@@ -56,11 +56,11 @@
   if (slots <= 0) return { [RequestKind.Call]: 0, [RequestKind.Upload]: 0 }
   if (slots === 1) return computeSingleSlotLimits(demand)
   const guaranteedUploads = computeShare(slots, RequestKind.Upload)
-  const uploads = inUse[RequestKind.Upload]
-  const reservedForUploads = waiting[RequestKind.Upload] > 0 ? Math.max(0, guaranteedUploads - uploads) : 0
+  const uploadsInUse = inUse[RequestKind.Upload]
+  const reservedForUploads = waiting[RequestKind.Upload] > 0 ? Math.max(0, guaranteedUploads - uploadsInUse) : 0
   const maxUploads = waiting[RequestKind.Call] > 0 ? guaranteedUploads : slots - 1
   return {
-    [RequestKind.Call]: Math.max(0, slots - uploads - reservedForUploads),
+    [RequestKind.Call]: Math.max(0, slots - uploadsInUse - reservedForUploads),
     [RequestKind.Upload]: Math.max(0, Math.min(maxUploads, slots - inUse[RequestKind.Call]))
   }
 }
--- a/packages/steering/src/common/limits/partKeeper.ts
+++ b/packages/steering/src/common/limits/partKeeper.ts
@@ -89,9 +89,9 @@
    */
   observe (peer: PeerProcess, fingerprint: string): boolean {
     this.observeProcess(peer)
-    const known = this.acknowledgementsByPeer.get(peer.nodeId)
-    if (known === undefined || known.incarnation !== peer.incarnation || known.fingerprints.at(-1) === fingerprint) return false
-    known.fingerprints = [...known.fingerprints.filter((other) => other !== fingerprint), fingerprint].slice(-MAX_FINGERPRINTS_PER_PEER)
+    const acknowledgements = this.acknowledgementsByPeer.get(peer.nodeId)
+    if (acknowledgements === undefined || acknowledgements.incarnation !== peer.incarnation || acknowledgements.fingerprints.at(-1) === fingerprint) return false
+    acknowledgements.fingerprints = [...acknowledgements.fingerprints.filter((other) => other !== fingerprint), fingerprint].slice(-MAX_FINGERPRINTS_PER_PEER)
     return this.removeSupersededViews()
   }
 
@@ -102,8 +102,8 @@
    * @param peer the peer
    */
   observeProcess (peer: PeerProcess): void {
-    const known = this.acknowledgementsByPeer.get(peer.nodeId)
-    if (known !== undefined && known.incarnation >= peer.incarnation) return
+    const acknowledgements = this.acknowledgementsByPeer.get(peer.nodeId)
+    if (acknowledgements !== undefined && acknowledgements.incarnation >= peer.incarnation) return
     this.acknowledgementsByPeer.set(peer.nodeId, { incarnation: peer.incarnation, fingerprints: [] })
   }
 
--- a/packages/steering/src/common/limits/waitEstimate.ts
+++ b/packages/steering/src/common/limits/waitEstimate.ts
@@ -44,7 +44,7 @@
   /**
    * Estimates the wait of a request while all slots are in use.
    * @param queue the requests ahead of it
-   * @returns the expected time until enough slots are released, in milliseconds; Infinity if none is in use
+   * @returns the expected time until enough slots are released, in milliseconds; Infinity if no slot that it could get is in use
    */
   estimateWaitMs (queue: QueueAhead): number {
     const kinds = queue.isOwed ? Object.values(RequestKind) : [queue.kind]
--- a/packages/steering/src/common/spread/pushTree.ts
+++ b/packages/steering/src/common/spread/pushTree.ts
@@ -2,10 +2,10 @@
  * The tree along which a new document is pushed to all nodes. Every node computes its
  * own children from the origin's id and the list of nodes, so messages don't carry the
  * tree. The regions form one tree with the origin's region as its root. The nodes of
- * each region form another, whose root, the region head, receives the push from the
- * parent region. If nodes have different lists, some may be reached twice or not at
- * all: a second push is ignored because of its version, and a missed document is
- * fetched after the next exchange of digests.
+ * each region form another. Its root, the region head, is the origin itself or the node
+ * that receives the push from the parent region. If nodes have different lists, some
+ * may be reached twice or not at all: a second push is ignored because of its version,
+ * and a missed document is found by exchanging digests.
  */
 import { rankByRendezvous } from '../lookup/rendezvous.js'
 import { listNodeIdsInRegion, type SpreadNode } from './spreadNode.js'
--- a/packages/steering/test/common/limits/limitWorld.test.ts
+++ b/packages/steering/test/common/limits/limitWorld.test.ts
@@ -6,6 +6,7 @@
 
 const SEED = 20_261
 const RUNS = 150
+/** Number of values of `fate`, which decides whether a message and its answer are delivered, delayed, duplicated or lost. */
 const FATE_COUNT = 64
 
 const limitsArbitrary: fc.Arbitrary<Limits> = fc.record({
--- a/packages/steering/test/common/limits/limitWorld.ts
+++ b/packages/steering/test/common/limits/limitWorld.ts
@@ -25,7 +25,7 @@
 const PLACE_KEY = buildPlaceKey(SERVICE, DOMAIN)
 /** Scaled down; as in production, the grace period exceeds the maximum list age, the list's delay and the longest request together. */
 const POLICY: RosterPolicy = { holdSpanMs: 700, maxListAgeMs: 300 }
-const LIST_LAG_MS = 150
+const MAX_LIST_DELAY_MS = 150
 export const MAX_REQUEST_MS = 200
 /** Difference between the rates of two successive nodes' clocks; the margin for loans is wider. */
 const CLOCK_RATE_SPREAD_RATIO = CLOCK_RATE_MARGIN / 4
@@ -121,7 +121,7 @@
     this.ledger.removeEnded(now)
   }
 
-  findAcknowledged (): string | undefined {
+  findAcknowledgedFingerprint (): string | undefined {
     if (!this.barrier.isOpen) return undefined
     const slots = this.ledger.listUse()
     const places = new Map<string, number>()
@@ -165,9 +165,9 @@
     this.setListed([...next])
   }
 
-  /** Lets a node read the list as it was up to `LIST_LAG_MS` ago. */
-  readList (node: SimulatedNode, lagMs: number): void {
-    const asOf = this.time - Math.min(lagMs, LIST_LAG_MS)
+  /** Lets a node read the list as it was up to {@link MAX_LIST_DELAY_MS} ago. */
+  readList (node: SimulatedNode, delayMs: number): void {
+    const asOf = this.time - Math.min(delayMs, MAX_LIST_DELAY_MS)
     const reading = this.listHistory.findLast(({ since }) => since <= asOf) ?? this.listHistory[0]!
     node.roster.observeList(reading.snapshot, node.now(), node.now())
     node.update()
@@ -188,7 +188,7 @@
     this.send(to.nodeId, fate, () => {
       to.division.observeProcess({ nodeId, incarnation })
       to.update()
-      const answer = { incarnation: to.incarnation, stamp: to.findAcknowledged(), holdsLoan: to.ledger.listBorrowed().some((loan) => loan.lenderId === nodeId), listVersion: to.roster.listVersion, gone: to.roster.listGone() }
+      const answer = { incarnation: to.incarnation, stamp: to.findAcknowledgedFingerprint(), holdsLoan: to.ledger.listBorrowed().some((loan) => loan.lenderId === nodeId), listVersion: to.roster.listVersion, gone: to.roster.listGone() }
       this.send(nodeId, Math.floor(fate / 4), () => {
         // The answer belongs to a call of the previous process if the sender has restarted.
         if (from.incarnation !== incarnation) return
