--- a/packages/steering/src/common/lookup/clientPrefix.ts
+++ b/packages/steering/src/common/lookup/clientPrefix.ts
@@ -1,18 +1,18 @@
-/** CIDR prefixes of clients, in one spelling: IPv4-mapped IPv6 prefixes count as IPv4. */
-import { AddressFamily, isMapped, parseIPv4, parseIPv6, WORDS_PER_IPV6 } from './addressWords.js'
+/** Parses CIDR prefixes of clients into a normalized form; IPv4-mapped IPv6 prefixes count as IPv4. */
+import { AddressFamily, isIPv4Mapped, parseIPv4, parseIPv6, WORDS_PER_IPV6 } from './addressWords.js'
 
 export { AddressFamily } from './addressWords.js'
 
 const WORD_BITS = 32
 const IPV4_BITS = WORD_BITS
 const IPV6_BITS = WORD_BITS * WORDS_PER_IPV6
-/** Bits before the IPv4 address in `::ffff:a.b.c.d`. */
+/** Number of bits before the IPv4 address in `::ffff:a.b.c.d`. */
 const MAPPED_BITS = IPV6_BITS - IPV4_BITS
-const ZERO = 48
+const ZERO_CODE = 48
 const MAX_LENGTH_DIGITS = 3
-const HEX = 16
-/** Zones and octal or hexadecimal numbers in a dotted tail, which tools read differently. */
-const UNUSUAL = /[^0-9a-fA-F:./]/
+const HEX_RADIX = 16
+/** Rejects zones and hexadecimal numbers in an embedded IPv4 address, which tools interpret differently. */
+const UNSUPPORTED_CHARACTERS = /[^0-9a-fA-F:./]/
 
 /** A parsed prefix. */
 export interface ClientPrefix {
@@ -22,13 +22,13 @@
 }
 
 /**
- * @param word position of a word in an address
+ * @param wordIndex index of a word in an address
  * @param length a prefix length in bits
- * @returns the bits of that word that belong to the prefix
+ * @returns a mask of the bits of that word that belong to the prefix
  */
-export function computeWordMask (word: number, length: number): number {
-  const kept = Math.min(WORD_BITS, Math.max(0, length - word * WORD_BITS))
-  return kept === 0 ? 0 : (-1 << (WORD_BITS - kept)) >>> 0
+export function computeWordMask (wordIndex: number, length: number): number {
+  const prefixBits = Math.min(WORD_BITS, Math.max(0, length - wordIndex * WORD_BITS))
+  return prefixBits === 0 ? 0 : (-1 << (WORD_BITS - prefixBits)) >>> 0
 }
 
 function parseLength (text: string, from: number): number {
@@ -36,42 +36,42 @@
   if (digits === 0 || digits > MAX_LENGTH_DIGITS) return -1
   let length = 0
   for (let index = from; index < text.length; index++) {
-    const digit = text.charCodeAt(index) - ZERO
+    const digit = text.charCodeAt(index) - ZERO_CODE
     if (digit < 0 || digit > 9) return -1
     length = length * 10 + digit
   }
   return length
 }
 
-function removeHostBits (words: Uint32Array, count: number, length: number): void {
-  for (let word = 0; word < count; word++) words[word] = ((words[word] as number) & computeWordMask(word, length)) >>> 0
+function removeHostBits (words: Uint32Array, wordCount: number, length: number): void {
+  for (let wordIndex = 0; wordIndex < wordCount; wordIndex++) words[wordIndex] = ((words[wordIndex] as number) & computeWordMask(wordIndex, length)) >>> 0
 }
 
-/** Reads the address before the slash; the length still counts the bits of the spelling used. */
-function parseNetwork (text: string, slash: number, length: number, words: Uint32Array): ClientPrefix | undefined {
-  const value = parseIPv4(text, 0, slash)
+/** Parses the address before the slash. `length` counts bits of the address as written; for an IPv4-mapped prefix it includes the bits before the IPv4 address. */
+function parseNetwork (text: string, slashIndex: number, length: number, words: Uint32Array): ClientPrefix | undefined {
+  const value = parseIPv4(text, 0, slashIndex)
   if (value >= 0) {
     words[0] = value
     return length > IPV4_BITS ? undefined : { family: AddressFamily.IPv4, length }
   }
-  if (length > IPV6_BITS || UNUSUAL.test(text) || !parseIPv6(text, 0, slash, words)) return undefined
-  if (length < MAPPED_BITS || !isMapped(words)) return { family: AddressFamily.IPv6, length }
+  if (length > IPV6_BITS || UNSUPPORTED_CHARACTERS.test(text) || !parseIPv6(text, 0, slashIndex, words)) return undefined
+  if (length < MAPPED_BITS || !isIPv4Mapped(words)) return { family: AddressFamily.IPv6, length }
   words[0] = words[WORDS_PER_IPV6 - 1] as number
   return { family: AddressFamily.IPv4, length: length - MAPPED_BITS }
 }
 
 /**
- * Parses `address/length`; bits beyond the length are cleared.
+ * Parses `address/length` and clears the bits beyond the length.
  * @param text a CIDR prefix
- * @param words gets the network's address: one word for IPv4, four for IPv6
- * @returns family and length, or undefined if the text is no prefix
+ * @param words receives the network address: one word for IPv4, four for IPv6
+ * @returns family and length, or undefined if the text is not a prefix
  */
 export function parseClientPrefix (text: string, words: Uint32Array): ClientPrefix | undefined {
-  const slash = text.indexOf('/')
-  if (slash === -1) return undefined
-  const length = parseLength(text, slash + 1)
+  const slashIndex = text.indexOf('/')
+  if (slashIndex === -1) return undefined
+  const length = parseLength(text, slashIndex + 1)
   if (length === -1) return undefined
-  const prefix = parseNetwork(text, slash, length, words)
+  const prefix = parseNetwork(text, slashIndex, length, words)
   if (prefix === undefined) return undefined
   removeHostBits(words, prefix.family === AddressFamily.IPv4 ? 1 : WORDS_PER_IPV6, prefix.length)
   return prefix
@@ -79,12 +79,12 @@
 
 /**
  * @param prefix a parsed prefix
- * @param words its network's address
- * @returns one spelling: equal prefixes have equal text; for comparing, not for reading
+ * @param words its network address
+ * @returns a key for comparisons: equal prefixes have equal keys
  */
 export function formatPrefixKey (prefix: ClientPrefix, words: Uint32Array): string {
-  const first = (words[0] as number).toString(HEX)
+  const first = (words[0] as number).toString(HEX_RADIX)
   if (prefix.family === AddressFamily.IPv4) return `${first}/${prefix.length}`
-  const rest = [words[1], words[2], words[3]].map((word) => (word as number).toString(HEX))
+  const rest = [words[1], words[2], words[3]].map((word) => (word as number).toString(HEX_RADIX))
   return `${first}:${rest.join(':')}/${prefix.length}`
 }
--- a/packages/steering/src/common/lookup/decideLookup.ts
+++ b/packages/steering/src/common/lookup/decideLookup.ts
@@ -1,4 +1,4 @@
-/** Which entry VMs a caller is told to use. */
+/** Decides which entry VMs a caller should use. */
 import type { SteeringConfiguration } from '../configuration/configurationSchema.js'
 import { NodeState } from '../state/nodeState.js'
 import { rankByRendezvous } from './rendezvous.js'
@@ -6,12 +6,12 @@
 
 export { NodeState } from '../state/nodeState.js'
 
-/** An entry VM as far as look-ups go. */
+/** An entry VM with the properties that lookups need. */
 export interface LookupNode {
   readonly nodeId: string
   readonly region: string
   readonly failureDomain: string
-  /** `host:port` of the callers' listener. */
+  /** `host:port` on which it accepts callers' requests. */
   readonly address: string
   readonly state: NodeState
 }
@@ -19,25 +19,25 @@
 /** One entry VM in an answer. */
 export interface LookupEntry {
   readonly nodeId: string
-  /** `host:port` of the callers' listener. */
+  /** `host:port` on which it accepts callers' requests. */
   readonly address: string
-  /** The part of the caller's requests to send there; an answer's weights sum to 1. */
+  /** The fraction of the caller's requests to send there; the weights of an answer sum to 1. */
   readonly weight: number
 }
 
-/** The body of a look-up's answer. */
+/** The body of a lookup response. */
 export interface LookupAnswer {
   readonly service: string
   /** The region of the caller's client block. */
   readonly region: string
   readonly configurationVersion: number
-  /** How long the caller may keep the answer. */
+  /** How long the caller may cache the answer. */
   readonly cacheForMs: number
   /** Empty if no entry VM is live. */
   readonly entries: readonly LookupEntry[]
 }
 
-/** What a look-up is decided from. */
+/** The input of a lookup. */
 export interface LookupInput {
   readonly service: string
   /** The region of the caller's client block. */
@@ -48,17 +48,17 @@
   readonly version: number
 }
 
-/** What `listServiceEntries` needs to know of an entry VM. */
+/** The properties of an entry VM that {@link listServiceEntries} needs. */
 export type EntryCandidate = Pick<LookupNode, 'nodeId' | 'region' | 'failureDomain'>
 
 /**
- * Names the entry VMs of a region that serve a service: the best of each failure
- * domain by rendezvous rank, then the second of each, and so on. States are not
- * looked at: look-ups pass live nodes, the division of limits the roster.
+ * Selects the entry VMs of a region that serve a service: the first of each failure
+ * domain by rendezvous rank, then the second of each, and so on. Node states are
+ * ignored: lookups pass live nodes only, while the division of limits also passes others.
  * @param service the service
  * @param region the region
- * @param nodes the candidates; those of other regions are passed over
- * @param entriesPerRegion how many to name at most
+ * @param nodes the candidates; those of other regions are ignored
+ * @param entriesPerRegion the maximum number of entry VMs
  * @returns node ids in the order of preference
  */
 export function listServiceEntries (
@@ -70,55 +70,55 @@
   }
   const ranked = rankByRendezvous(`${service}/${region}`, [...domainById.keys()])
   const countByDomain = new Map<string, number>()
-  const placed = ranked.map((nodeId) => {
+  const domainRanks = ranked.map((nodeId) => {
     const domain = domainById.get(nodeId) ?? ''
-    const round = countByDomain.get(domain) ?? 0
-    countByDomain.set(domain, round + 1)
-    return { nodeId, round }
+    const rankInDomain = countByDomain.get(domain) ?? 0
+    countByDomain.set(domain, rankInDomain + 1)
+    return { nodeId, rankInDomain }
   })
-  // The sort is stable, so within a round the rendezvous order remains.
-  placed.sort((left, right) => left.round - right.round)
-  return placed.slice(0, entriesPerRegion).map((entry) => entry.nodeId)
+  // The sort is stable, so that nodes of equal rank in their failure domains keep the rendezvous order.
+  domainRanks.sort((left, right) => left.rankInDomain - right.rankInDomain)
+  return domainRanks.slice(0, entriesPerRegion).map((entry) => entry.nodeId)
 }
 
-/** The live entry VMs of each region; grouped once, since there may be thousands. */
-type LiveNodes = ReadonlyMap<string, readonly LookupNode[]>
+/** The live entry VMs by region; grouped only once, because there can be thousands. */
+type LiveNodesByRegion = ReadonlyMap<string, readonly LookupNode[]>
 
-function listLiveByRegion (nodes: readonly LookupNode[]): LiveNodes {
+function listLiveNodesByRegion (nodes: readonly LookupNode[]): LiveNodesByRegion {
   const byRegion = new Map<string, LookupNode[]>()
   for (const node of nodes) {
     if (node.state !== NodeState.Live) continue
-    const known = byRegion.get(node.region)
-    if (known === undefined) byRegion.set(node.region, [node])
-    else known.push(node)
+    const regionNodes = byRegion.get(node.region)
+    if (regionNodes === undefined) byRegion.set(node.region, [node])
+    else regionNodes.push(node)
   }
   return byRegion
 }
 
 /**
- * Decides a look-up: live entry VMs of the caller's region, or, if there is
- * none, those of the nearest region that has one.
- * @param input the caller's service and region, and what is known
+ * Decides a lookup: the answer names live entry VMs of the caller's region or, if
+ * there are none, of the nearest region that has some.
+ * @param input the caller's service and region, the entry VMs and the configuration
  * @returns the answer; without entries if no entry VM is live anywhere
  */
 export function decideLookup (input: LookupInput): LookupAnswer {
-  return decideFrom(input, listLiveByRegion(input.nodes))
+  return buildAnswer(input, listLiveNodesByRegion(input.nodes))
 }
 
-function decideFrom (input: Omit<LookupInput, 'nodes'>, live: LiveNodes): LookupAnswer {
+function buildAnswer (input: Omit<LookupInput, 'nodes'>, liveNodes: LiveNodesByRegion): LookupAnswer {
   const { service, region, configuration, version } = input
   return {
     service,
     region,
     configurationVersion: version,
     cacheForMs: configuration.lookupCacheMs,
-    entries: decideEntries(service, region, live, configuration)
+    entries: decideEntries(service, region, liveNodes, configuration)
   }
 }
 
-function decideEntries (service: string, from: string, live: LiveNodes, configuration: SteeringConfiguration): LookupEntry[] {
-  for (const { region } of rankRegionsByDelay(configuration, from)) {
-    const nodes = live.get(region) ?? []
+function decideEntries (service: string, callerRegion: string, liveNodes: LiveNodesByRegion, configuration: SteeringConfiguration): LookupEntry[] {
+  for (const { region } of rankRegionsByDelay(configuration, callerRegion)) {
+    const nodes = liveNodes.get(region) ?? []
     const ids = listServiceEntries(service, region, nodes, configuration.entriesPerRegion)
     if (ids.length === 0) continue
     const addressById = new Map(nodes.map((node) => [node.nodeId, node.address]))
@@ -128,10 +128,10 @@
 }
 
 /**
- * The look-ups of one configuration and one set of nodes. Each is decided when
- * it is first asked for: with dozens of services and regions and thousands of
- * nodes, deciding all of them would hold the loop at every change of a member,
- * while a node is mostly asked for its own region.
+ * The lookup answers of one configuration and one set of nodes. Each is computed on
+ * its first request and then cached: with dozens of services and regions and thousands
+ * of nodes, computing all of them would block the event loop at every membership
+ * change, while a node mostly receives lookups for its own region.
  */
 export class LookupIndex {
   private readonly answers = new Map<string, Map<string, LookupAnswer>>()
@@ -139,33 +139,33 @@
   private constructor (
     private readonly configuration: SteeringConfiguration,
     private readonly version: number,
-    private readonly live: LiveNodes
+    private readonly liveNodes: LiveNodesByRegion
   ) {}
 
   /**
    * @param configuration the configuration in force
    * @param version its version
    * @param nodes the entry VMs
-   * @returns an index to be replaced when any of these changes
+   * @returns an index, which must be replaced when any of these changes
    */
   static build (configuration: SteeringConfiguration, version: number, nodes: readonly LookupNode[]): LookupIndex {
-    return new LookupIndex(configuration, version, listLiveByRegion(nodes))
+    return new LookupIndex(configuration, version, listLiveNodesByRegion(nodes))
   }
 
   /**
-   * @param service the service asked for
+   * @param service the requested service
    * @param region the caller's region
-   * @returns the answer, or undefined if the configuration knows no such service or region
+   * @returns the answer, or undefined if the configuration has no such service or region
    */
   find (service: string, region: string): LookupAnswer | undefined {
-    return this.answers.get(service)?.get(region) ?? this.decide(service, region)
+    return this.answers.get(service)?.get(region) ?? this.decideAnswer(service, region)
   }
 
-  private decide (service: string, region: string): LookupAnswer | undefined {
+  private decideAnswer (service: string, region: string): LookupAnswer | undefined {
     const { configuration, version } = this
-    // Names come from callers: only own fields are services, never those of Object.prototype.
+    // Names come from callers, so that inherited properties of Object.prototype must not count as services or regions.
     if (!Object.hasOwn(configuration.services, service) || !Object.hasOwn(configuration.regions, region)) return undefined
-    const answer = decideFrom({ service, region, configuration, version }, this.live)
+    const answer = buildAnswer({ service, region, configuration, version }, this.liveNodes)
     const byRegion = this.answers.get(service)
     if (byRegion === undefined) this.answers.set(service, new Map([[region, answer]]))
     else byRegion.set(region, answer)
--- a/packages/steering/src/common/lookup/prefixIntervals.ts
+++ b/packages/steering/src/common/lookup/prefixIntervals.ts
@@ -1,70 +1,70 @@
 /**
- * Nested prefixes resolved into disjoint intervals, so that a longest-prefix
+ * Converts nested prefixes into disjoint address intervals, so that a longest-prefix
  * match is one binary search over interval starts.
  */
 import type { PrefixList } from './prefixList.js'
-import { STEPS_PER_SLICE } from './prefixList.js'
+import { OPERATIONS_PER_SLICE } from './prefixList.js'
 
-/** The group that stands for addresses of no prefix. */
+/** The group of addresses that match no prefix. */
 export const NO_GROUP = 0
-/** Open prefixes lie within each other, so no two have the same length: 0 to 128. */
+/** Open prefixes are nested, so that no two have the same length, which ranges from 0 to 128. */
 const MAX_NESTING = 129
 const MAX_WORD = 0xffff_ffff
 
-/** The key of an address: its first 52 bits, which a double holds exactly. */
+/** The key of an address is its first 52 bits, which a double represents exactly. */
 const KEY_FACTOR = 2 ** 20
 const KEY_SHIFT = 12
-const KEYS_PER_TOP = 64
+const KEYS_PER_TOP_KEY = 64
 
-function computeKey (words: Uint32Array, at: number): number {
-  return (words[at] as number) * KEY_FACTOR + ((words[at + 1] as number) >>> KEY_SHIFT)
+function computeAddressKey (words: Uint32Array, offset: number): number {
+  return (words[offset] as number) * KEY_FACTOR + ((words[offset + 1] as number) >>> KEY_SHIFT)
 }
 
-/** IPv4 searches begin within the intervals that start with the same 16 bits. */
-const HIGH_VALUES = 0x1_0000
-const HIGH_SHIFT = 16
+/** A search for an IPv4 address is limited to intervals whose start has the same high 16 bits. */
+const HIGH_HALF_VALUES = 0x1_0000
+const HIGH_HALF_SHIFT = 16
 
-/** For each value of the high half of an IPv4 address, how many intervals start below it. */
-function buildHighIndex (starts: Uint32Array): Uint32Array {
-  const below = new Uint32Array(HIGH_VALUES + 1)
-  let at = 0
-  for (let high = 0; high < HIGH_VALUES; high++) {
-    while (at < starts.length && ((starts[at] as number) >>> HIGH_SHIFT) < high) at++
-    below[high] = at
+/** For each value of the high half of an IPv4 address, counts the intervals whose start has a smaller high half. */
+function buildHighHalfIndex (starts: Uint32Array): Uint32Array {
+  const countsBelow = new Uint32Array(HIGH_HALF_VALUES + 1)
+  let startIndex = 0
+  for (let highHalf = 0; highHalf < HIGH_HALF_VALUES; highHalf++) {
+    while (startIndex < starts.length && ((starts[startIndex] as number) >>> HIGH_HALF_SHIFT) < highHalf) startIndex++
+    countsBelow[highHalf] = startIndex
   }
-  below[HIGH_VALUES] = starts.length
-  return below
+  countsBelow[HIGH_HALF_VALUES] = starts.length
+  return countsBelow
 }
 
 /** Disjoint intervals of one address family. */
 export class PrefixIntervals {
-  /** For IPv6: comparing keys decides nearly every step of a search with one load. */
+  /** For IPv6: the key of each start. Nearly every comparison of a search needs only the key, one memory access. */
   private readonly keys: Float64Array
-  /** Every 64th key: small enough to stay in the processor's nearest cache. */
+  /** Every 64th key, so that the first part of a search stays in the processor's L1 cache. */
   private readonly topKeys: Float64Array
-  private readonly highIndex: Uint32Array
+  private readonly highHalfIndex: Uint32Array
 
   constructor (
-    private readonly width: number,
-    /** `width` words for each start, the most significant first. */
+    private readonly wordsPerAddress: number,
+    /** `wordsPerAddress` words for each start, the most significant first. */
     private readonly starts: Uint32Array,
     private readonly groups: Uint32Array
   ) {
-    this.keys = new Float64Array(width > 1 ? groups.length : 0)
-    for (let index = 0; index < this.keys.length; index++) this.keys[index] = computeKey(starts, index * width)
-    this.topKeys = this.keys.filter((_, index) => index % KEYS_PER_TOP === 0)
-    this.highIndex = buildHighIndex(width === 1 ? starts : new Uint32Array(0))
+    this.keys = new Float64Array(wordsPerAddress > 1 ? groups.length : 0)
+    for (let index = 0; index < this.keys.length; index++) this.keys[index] = computeAddressKey(starts, index * wordsPerAddress)
+    this.topKeys = this.keys.filter((_, index) => index % KEYS_PER_TOP_KEY === 0)
+    this.highHalfIndex = buildHighHalfIndex(wordsPerAddress === 1 ? starts : new Uint32Array(0))
   }
 
   /**
    * @param value an IPv4 address
-   * @returns its group
+   * @returns its group, {@link NO_GROUP} without a matching prefix
    */
-  findNumber (value: number): number {
-    const { starts, groups, highIndex } = this
-    const half = value >>> HIGH_SHIFT
-    let low = highIndex[half] as number
-    let high = highIndex[half + 1] as number
+  findIPv4 (value: number): number {
+    const { starts, groups, highHalfIndex } = this
+    const highHalf = value >>> HIGH_HALF_SHIFT
+    let low = highHalfIndex[highHalf] as number
+    let high = highHalfIndex[highHalf + 1] as number
     while (low < high) {
       const middle = (low + high) >>> 1
       if ((starts[middle] as number) <= value) low = middle + 1
@@ -75,17 +75,17 @@
 
   /**
    * @param words an IPv6 address
-   * @returns its group
+   * @returns its group, {@link NO_GROUP} without a matching prefix
    */
-  findWords (words: Uint32Array): number {
+  findIPv6 (words: Uint32Array): number {
     const { keys, groups, topKeys } = this
-    const key = computeKey(words, 0)
-    const below = this.countTopKeysBelow(key)
-    let upTo = below
-    // Intervals of equal keys, longer prefixes than a key tells apart, may begin anywhere among these.
-    while (upTo < topKeys.length && topKeys[upTo] === key) upTo++
-    let low = Math.max(0, (below - 1) * KEYS_PER_TOP)
-    let high = Math.min(groups.length, upTo * KEYS_PER_TOP)
+    const key = computeAddressKey(words, 0)
+    const countBelow = this.countTopKeysBelow(key)
+    let countUpTo = countBelow
+    // Prefixes longer than 52 bits can have equal keys; their intervals can start anywhere among equal top keys.
+    while (countUpTo < topKeys.length && topKeys[countUpTo] === key) countUpTo++
+    let low = Math.max(0, (countBelow - 1) * KEYS_PER_TOP_KEY)
+    let high = Math.min(groups.length, countUpTo * KEYS_PER_TOP_KEY)
     while (low < high) {
       const middle = (low + high) >>> 1
       const difference = (keys[middle] as number) - key
@@ -108,23 +108,23 @@
   }
 
   private compareStart (interval: number, words: Uint32Array): number {
-    const { width, starts } = this
-    for (let word = 0; word < width; word++) {
-      const difference = (starts[interval * width + word] as number) - (words[word] as number)
+    const { wordsPerAddress, starts } = this
+    for (let wordIndex = 0; wordIndex < wordsPerAddress; wordIndex++) {
+      const difference = (starts[interval * wordsPerAddress + wordIndex] as number) - (words[wordIndex] as number)
       if (difference !== 0) return difference
     }
     return 0
   }
 }
 
-/** Collects interval starts; an interval of the same group as the one before is not begun. */
+/** Collects interval starts; an interval with the same group as the previous one is merged into it. */
 class IntervalWriter {
   private readonly starts: Uint32Array
   private readonly groups: Uint32Array
   private count = 0
 
-  constructor (private readonly width: number, capacity: number) {
-    this.starts = new Uint32Array(capacity * width)
+  constructor (private readonly wordsPerAddress: number, capacity: number) {
+    this.starts = new Uint32Array(capacity * wordsPerAddress)
     this.groups = new Uint32Array(capacity)
   }
 
@@ -132,101 +132,101 @@
     if (this.count > 0 && this.isLastStart(words)) this.count--
     const previous = this.count > 0 ? this.groups[this.count - 1] : NO_GROUP
     if (previous === group) return
-    for (let word = 0; word < this.width; word++) this.starts[this.count * this.width + word] = words[word] as number
+    for (let wordIndex = 0; wordIndex < this.wordsPerAddress; wordIndex++) this.starts[this.count * this.wordsPerAddress + wordIndex] = words[wordIndex] as number
     this.groups[this.count++] = group
   }
 
   finish (): PrefixIntervals {
-    return new PrefixIntervals(this.width, this.starts.slice(0, this.count * this.width), this.groups.slice(0, this.count))
+    return new PrefixIntervals(this.wordsPerAddress, this.starts.slice(0, this.count * this.wordsPerAddress), this.groups.slice(0, this.count))
   }
 
   private isLastStart (words: Uint32Array): boolean {
-    const at = (this.count - 1) * this.width
-    for (let word = 0; word < this.width; word++) {
-      if (this.starts[at + word] !== words[word]) return false
+    const offset = (this.count - 1) * this.wordsPerAddress
+    for (let wordIndex = 0; wordIndex < this.wordsPerAddress; wordIndex++) {
+      if (this.starts[offset + wordIndex] !== words[wordIndex]) return false
     }
     return true
   }
 }
 
-/** Adds one; returns false behind the last address of the space. */
-function addOne (words: Uint32Array, width: number): boolean {
-  for (let word = width - 1; word >= 0; word--) {
-    if (words[word] !== MAX_WORD) {
-      words[word] = (words[word] as number) + 1
+/** Increments an address; returns false if it was the last of the address space. */
+function addOne (words: Uint32Array, wordsPerAddress: number): boolean {
+  for (let wordIndex = wordsPerAddress - 1; wordIndex >= 0; wordIndex--) {
+    if (words[wordIndex] !== MAX_WORD) {
+      words[wordIndex] = (words[wordIndex] as number) + 1
       return true
     }
-    words[word] = 0
+    words[wordIndex] = 0
   }
   return false
 }
 
-/** Sweeps over sorted prefixes with a stack of those still open, the longest on top. */
+/** Iterates over sorted prefixes with a stack of the open ones: those that contain the current address, the longest on top. */
 class IntervalSweep {
   private readonly writer: IntervalWriter
-  private readonly open = new Int32Array(MAX_NESTING)
-  private depth = 0
-  private readonly first: Uint32Array
-  private readonly last: Uint32Array
+  private readonly openPrefixes = new Int32Array(MAX_NESTING)
+  private openCount = 0
+  private readonly firstAddress: Uint32Array
+  private readonly lastAddress: Uint32Array
 
   constructor (private readonly list: PrefixList) {
     this.writer = new IntervalWriter(list.wordsPerPrefix, list.size * 2)
-    this.first = new Uint32Array(list.wordsPerPrefix)
-    this.last = new Uint32Array(list.wordsPerPrefix)
+    this.firstAddress = new Uint32Array(list.wordsPerPrefix)
+    this.lastAddress = new Uint32Array(list.wordsPerPrefix)
   }
 
   * run (): Generator<void, PrefixIntervals> {
     const { list } = this
-    const width = list.wordsPerPrefix
+    const wordsPerAddress = list.wordsPerPrefix
     for (let index = 0; index < list.size; index++) {
       if (this.isSameAsNext(index)) continue
-      for (let word = 0; word < width; word++) this.first[word] = list.words[index * width + word] as number
-      this.closeBefore(index)
-      this.writer.add(this.first, list.groups[index] as number)
-      this.open[this.depth++] = index
-      if (index % STEPS_PER_SLICE === STEPS_PER_SLICE - 1) yield
+      for (let wordIndex = 0; wordIndex < wordsPerAddress; wordIndex++) this.firstAddress[wordIndex] = list.words[index * wordsPerAddress + wordIndex] as number
+      this.closeEndedBefore(index)
+      this.writer.add(this.firstAddress, list.groups[index] as number)
+      this.openPrefixes[this.openCount++] = index
+      if (index % OPERATIONS_PER_SLICE === OPERATIONS_PER_SLICE - 1) yield
     }
-    while (this.depth > 0) this.closeTop()
+    while (this.openCount > 0) this.closeInnermost()
     return this.writer.finish()
   }
 
-  /** Of equal prefixes the last counts; passing over the others also bounds the stack. */
+  /** Of equal prefixes only the last counts; skipping the others also limits the size of the stack. */
   private isSameAsNext (index: number): boolean {
     const { list } = this
-    const width = list.wordsPerPrefix
+    const wordsPerAddress = list.wordsPerPrefix
     if (index + 1 === list.size || list.lengths[index] !== list.lengths[index + 1]) return false
-    for (let word = 0; word < width; word++) {
-      if (list.words[index * width + word] !== list.words[(index + 1) * width + word]) return false
+    for (let wordIndex = 0; wordIndex < wordsPerAddress; wordIndex++) {
+      if (list.words[index * wordsPerAddress + wordIndex] !== list.words[(index + 1) * wordsPerAddress + wordIndex]) return false
     }
     return true
   }
 
-  private closeBefore (index: number): void {
-    while (this.depth > 0 && this.isBehind(this.open[this.depth - 1] as number, index)) this.closeTop()
+  private closeEndedBefore (index: number): void {
+    while (this.openCount > 0 && this.isAfter(this.openPrefixes[this.openCount - 1] as number, index)) this.closeInnermost()
   }
 
-  /** Whether a prefix begins behind the end of an open one. */
-  private isBehind (open: number, index: number): boolean {
-    const width = this.list.wordsPerPrefix
-    this.list.readLast(open, this.last)
-    for (let word = 0; word < width; word++) {
-      const difference = (this.list.words[index * width + word] as number) - (this.last[word] as number)
+  /** @returns whether a prefix starts after the end of an open one */
+  private isAfter (openIndex: number, index: number): boolean {
+    const wordsPerAddress = this.list.wordsPerPrefix
+    this.list.readLastAddress(openIndex, this.lastAddress)
+    for (let wordIndex = 0; wordIndex < wordsPerAddress; wordIndex++) {
+      const difference = (this.list.words[index * wordsPerAddress + wordIndex] as number) - (this.lastAddress[wordIndex] as number)
       if (difference !== 0) return difference > 0
     }
     return false
   }
 
-  private closeTop (): void {
-    this.list.readLast(this.open[--this.depth] as number, this.last)
-    if (!addOne(this.last, this.list.wordsPerPrefix)) return
-    const parent = this.depth > 0 ? this.list.groups[this.open[this.depth - 1] as number] as number : NO_GROUP
-    this.writer.add(this.last, parent)
+  private closeInnermost (): void {
+    this.list.readLastAddress(this.openPrefixes[--this.openCount] as number, this.lastAddress)
+    if (!addOne(this.lastAddress, this.list.wordsPerPrefix)) return
+    const parentGroup = this.openCount > 0 ? this.list.groups[this.openPrefixes[this.openCount - 1] as number] as number : NO_GROUP
+    this.writer.add(this.lastAddress, parentGroup)
   }
 }
 
 /**
- * @param sorted prefixes by first address and length; of equal ones the last counts
- * @returns the intervals
+ * @param sorted prefixes sorted by first address and length; of equal ones the last counts
+ * @returns a generator that yields after every few thousand operations and returns the intervals
  */
 export function buildIntervals (sorted: PrefixList): Generator<void, PrefixIntervals> {
   return new IntervalSweep(sorted).run()
--- a/packages/steering/src/common/lookup/regionDistance.ts
+++ b/packages/steering/src/common/lookup/regionDistance.ts
@@ -1,12 +1,12 @@
-/** How near regions are to each other, by the delay of the links between them. */
+/** Distances between regions, measured by the delay of the links between them. */
 import type { SteeringConfiguration } from '../configuration/configurationSchema.js'
 
-/** A region as seen from another one. */
+/** A region and its distance from another one. */
 export interface RegionDistance {
   readonly region: string
-  /** One way, without load; 0 for the region itself, Infinity without a link. */
+  /** One-way delay of the idle link; 0 for the region itself, Infinity without a link. */
   readonly oneWayMs: number
-  /** Requests at a time that the link bears; Infinity for the region itself, 0 without a link. */
+  /** The link's capacity in concurrent requests; Infinity for the region itself, 0 without a link. */
   readonly maxConcurrency: number
 }
 
@@ -16,10 +16,10 @@
 }
 
 /**
- * Lists all regions, the nearest first and those without a link last; equal
- * distances go by name, so that all nodes agree.
+ * Lists all regions, the nearest first and those without a link last. Equal
+ * distances are ordered by name, so that all nodes agree.
  * @param configuration the regions and links
- * @param from the region looked from; it comes first if it exists
+ * @param from the region from which distances are measured; it comes first if it exists
  * @returns every region of the configuration with its distance
  */
 export function rankRegionsByDelay (configuration: SteeringConfiguration, from: string): RegionDistance[] {
--- a/packages/steering/src/common/lookup/rendezvous.ts
+++ b/packages/steering/src/common/lookup/rendezvous.ts
@@ -1,17 +1,17 @@
 /**
  * Rendezvous hashing (highest random weight): every node ranks the same ids in
- * the same order, and the loss of one id leaves the order of the others as it is.
+ * the same order, and removing an id doesn't change the order of the others.
  */
 import { computeHash32 } from '../hash/xxHash.js'
 
-/** One more than the greatest hash of a pair. */
+/** Number of possible hashes of a pair: they are integers from 0 to this, exclusive. */
 export const PAIR_HASH_RANGE = 0x1_0000_0000
-/** Stands between key and id, so that no two pairs hash the same text. */
+/** Separates key and id, so that different pairs don't hash the same text. */
 const SEPARATOR = '\u0000'
 
 /**
- * @param key what ids compete for
- * @param id one of them
+ * @param key the key to rank ids for
+ * @param id one of the ids
  * @returns the pair's hash, an unsigned 32-bit number
  */
 export function computePairHash (key: string, id: string): number {
@@ -29,9 +29,9 @@
 }
 
 /**
- * Ranks ids for a key by xxHash32; equal hashes go by id.
- * @param key what the ids compete for
- * @param ids the competitors, in any order, each once
+ * Ranks ids for a key by xxHash32; equal hashes are ordered by id.
+ * @param key the key to rank ids for
+ * @param ids the ids, in any order and without duplicates
  * @returns the ids, the highest rank first
  */
 export function rankByRendezvous (key: string, ids: readonly string[]): string[] {
--- a/packages/steering/src/common/membership/memberTable.ts
+++ b/packages/steering/src/common/membership/memberTable.ts
@@ -1,6 +1,7 @@
 /**
- * What a node knows of the others from reports: when each was last heard of, who
- * is suspected, and which reports to relay. Pure: the present is passed in.
+ * A node's knowledge of other nodes from reports: when each becomes suspected, which
+ * are suspected, and which reports to relay. It reads no clock; the current time is
+ * passed in.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
@@ -8,79 +9,81 @@
 import { computeRoundSpan, SMALL_FLEET } from '../spread/neighbours.js'
 import { compareReports, type MemberReport, mergeReports } from './memberReport.js'
 
-/** Without a newer beat for so long a node of a small fleet is suspected. */
-const SILENCE_SPAN_MS = 4000
-/** In a larger fleet a ring neighbour may miss so many rounds. */
-const SILENT_ROUNDS = 4
-/** Reports relayed in one digest: all of a small fleet, and a part of a larger one. */
-export const RELAY_LIMIT = SMALL_FLEET
-/** A change is relayed in every digest for so long. */
-const NEWS_SPAN_MS = 3000
-/** The part of the unchanged reports in one digest; a digest comes many times within the silent span. */
-const TURN_PART = 1 / 3
-/** After so many silent spans a suspected node that is not listed either is forgotten. */
-const FORGET_SPANS = 10
+/** A node of a small fleet is suspected if no newer heartbeat arrives for this long. */
+const SUSPECT_TIMEOUT_MS = 4000
+/** In a larger fleet a ring neighbour is suspected after missing this many heartbeat rounds. */
+const MAX_MISSED_ROUNDS = 4
+/** Maximum number of reports relayed in one digest: those of all nodes in a small fleet, of some in a larger one. */
+export const MAX_RELAYED_REPORTS = SMALL_FLEET
+/** How long a change is relayed in every digest. */
+const CHANGE_RELAY_MS = 3000
+/** The fraction of the other reports in one digest; several digests are sent within the suspect timeout, so that each report is relayed in time. */
+const ROTATION_RATIO = 1 / 3
+/** A node that is not on the VM list is removed this many suspect timeouts after it became suspected. */
+const TIMEOUTS_UNTIL_EXPIRY = 10
 
-/** One node as reports show it. */
+/** One node's merged report and what follows from it. */
 export interface MemberRecord {
   readonly report: MemberReport
-  /** Its silence makes it suspected from here on. */
+  /** When the node becomes suspected unless a newer heartbeat arrives. */
   readonly suspectAt: Deadline
-  /** When its state, suspicion, start or documents last changed here; the newest changes are relayed first. */
+  /** When this node last learned of a change of state, suspicion, incarnation or documents; the latest changes are relayed first. */
   readonly changedAt: Instant
 }
 
-/** Reports of all nodes known. */
+/** The reports of all known nodes. */
 export class MemberTable {
   private readonly records = new Map<string, MemberRecord>()
-  private relayStart = 0
-  private relayedSpanMs = SILENCE_SPAN_MS
-  private ringSpanMs = SILENCE_SPAN_MS
-  private ring: ReadonlySet<string> = new Set()
+  private nextRelayIndex = 0
+  private relayedTimeoutMs = SUSPECT_TIMEOUT_MS
+  private ringTimeoutMs = SUSPECT_TIMEOUT_MS
+  private ringNeighbours: ReadonlySet<string> = new Set()
 
-  /** @param selfId the node whose table it is; reports of itself are not taken in */
+  /** @param selfId the node that owns the table; reports about it are ignored */
   constructor (private readonly selfId: string) {}
 
   /**
-   * A larger fleet relays a part of its reports in each digest, so word of a node
-   * takes longer; ring neighbours, who speak to each other in every round, find
-   * its silence first and relay the suspicion.
-   * @param nodeCount how many entry VMs there are
-   * @param ring the nodes that this one speaks to in every round
+   * Adapts the suspect timeouts to the size of the fleet. In a larger fleet each digest
+   * relays only some of the reports, so that a heartbeat takes longer to arrive. Ring
+   * neighbours, which exchange digests in every round, detect a missing heartbeat first
+   * and relay the suspicion.
+   * @param nodeCount the number of entry VMs
+   * @param ringNeighbours the nodes that this node exchanges digests with in every round
    */
-  updateSize (nodeCount: number, ring: readonly string[]): void {
-    this.ring = new Set(ring)
-    this.ringSpanMs = Math.max(SILENCE_SPAN_MS, SILENT_ROUNDS * computeRoundSpan(nodeCount))
-    this.relayedSpanMs = this.ringSpanMs * Math.max(1, Math.ceil(nodeCount / RELAY_LIMIT))
+  updateSize (nodeCount: number, ringNeighbours: readonly string[]): void {
+    this.ringNeighbours = new Set(ringNeighbours)
+    this.ringTimeoutMs = Math.max(SUSPECT_TIMEOUT_MS, MAX_MISSED_ROUNDS * computeRoundSpan(nodeCount))
+    this.relayedTimeoutMs = this.ringTimeoutMs * Math.max(1, Math.ceil(nodeCount / MAX_RELAYED_REPORTS))
   }
 
   /**
    * @param nodeId a node
-   * @returns what reports show of it
+   * @returns its record, or undefined if no report of it has arrived
    */
   get (nodeId: string): MemberRecord | undefined {
     return this.records.get(nodeId)
   }
 
   /**
-   * Takes in a report, first-hand or relayed. A duplicate or an older one, and one
-   * that was long under way, changes nothing: only a newer beat counts as a sign of life.
-   * @param offered the report
-   * @param now the present
+   * Merges a report, received from the node itself or relayed. A duplicate or older
+   * report, however late it arrives, changes nothing: only a newer heartbeat postpones
+   * the suspicion.
+   * @param received the report
+   * @param now the current time
    * @returns whether the node's state, suspicion or incarnation changed
    */
-  observe (offered: MemberReport, now: Instant): boolean {
-    if (offered.nodeId === this.selfId) return false
-    const known = this.records.get(offered.nodeId)
-    const merged = mergeReports(known?.report, offered)
+  observe (received: MemberReport, now: Instant): boolean {
+    if (received.nodeId === this.selfId) return false
+    const known = this.records.get(received.nodeId)
+    const merged = mergeReports(known?.report, received)
     if (known !== undefined && merged === known.report) return false
     const isNewer = known === undefined || compareReports(merged, known.report) > 0
-    const wasSuspected = known !== undefined && this.isSuspected(offered.nodeId, now)
+    const wasSuspected = known !== undefined && this.isSuspected(received.nodeId, now)
     const isChanged = known === undefined || known.report.state !== merged.state ||
       known.report.incarnation !== merged.incarnation || wasSuspected !== merged.isSuspected
-    this.records.set(offered.nodeId, {
+    this.records.set(received.nodeId, {
       report: merged,
-      suspectAt: isNewer ? createDeadline(now, this.ring.has(offered.nodeId) ? this.ringSpanMs : this.relayedSpanMs) : known.suspectAt,
+      suspectAt: isNewer ? createDeadline(now, this.ringNeighbours.has(received.nodeId) ? this.ringTimeoutMs : this.relayedTimeoutMs) : known.suspectAt,
       changedAt: isChanged || hasOtherDocuments(known.report, merged) ? now : known.changedAt
     })
     return isChanged
@@ -88,8 +91,8 @@
 
   /**
    * @param nodeId a node
-   * @param now the present
-   * @returns whether it was heard of once and is silent now, or others say so of its newest beat
+   * @param now the current time
+   * @returns whether its suspect timeout has passed, or other nodes suspect it as of its latest heartbeat; false for an unknown node
    */
   isSuspected (nodeId: string, now: Instant): boolean {
     const record = this.records.get(nodeId)
@@ -98,8 +101,8 @@
 
   /**
    * @param nodeId a node
-   * @param now the present
-   * @returns its announced state, `suspected`, or undefined if it was never heard of
+   * @param now the current time
+   * @returns its announced state, or `suspected`, or undefined if no report of it has arrived
    */
   getState (nodeId: string, now: Instant): NodeState | undefined {
     const record = this.records.get(nodeId)
@@ -108,9 +111,9 @@
   }
 
   /**
-   * Marks nodes whose deadline has passed, so that the mark is relayed.
-   * @param now the present
-   * @returns the ids of those newly marked
+   * Marks nodes as suspected if their suspect timeout has passed, so that the suspicion is relayed.
+   * @param now the current time
+   * @returns the ids of the newly suspected nodes
    */
   markSilent (now: Instant): string[] {
     const marked: string[] = []
@@ -123,31 +126,31 @@
   }
 
   /**
-   * Forgets nodes that are neither listed nor heard of any more.
-   * @param isListed whether the believed VM list has a node
-   * @param now the present
+   * Removes nodes that are not on the VM list and have not sent a heartbeat for a long time.
+   * @param isListed whether a node is on the effective VM list
+   * @param now the current time
    */
   removeGone (isListed: (nodeId: string) => boolean, now: Instant): void {
     for (const [nodeId, record] of this.records) {
-      const isOver = hasPassed(createDeadline(record.suspectAt, FORGET_SPANS * this.relayedSpanMs), now)
-      if (isOver && !isListed(nodeId)) this.records.delete(nodeId)
+      const isExpired = hasPassed(createDeadline(record.suspectAt, TIMEOUTS_UNTIL_EXPIRY * this.relayedTimeoutMs), now)
+      if (isExpired && !isListed(nodeId)) this.records.delete(nodeId)
     }
   }
 
   /**
-   * Chooses the reports for a digest: all that changed lately, up to half of the
-   * room, and some of the others in turn, as signs of life.
-   * @param now the present
-   * @returns at most RELAY_LIMIT reports
+   * Selects the reports for a digest: those with recent changes, up to half of the limit,
+   * and some of the others in rotation, to relay their heartbeats.
+   * @param now the current time
+   * @returns at most {@link MAX_RELAYED_REPORTS} reports
    */
   listRelayed (now: Instant): MemberReport[] {
     const byChange = [...this.records.values()].sort((left, right) => right.changedAt - left.changedAt)
-    const latest = byChange.slice(0, RELAY_LIMIT / 2).filter((record) => now - record.changedAt < NEWS_SPAN_MS)
-    const rest = byChange.slice(latest.length).sort((left, right) => left.report.nodeId < right.report.nodeId ? -1 : 1)
-    const size = Math.min(RELAY_LIMIT / 2, Math.ceil(rest.length * TURN_PART))
-    const turn = Array.from({ length: size }, (_, index) => rest[(this.relayStart + index) % rest.length])
-    this.relayStart = (this.relayStart + size) % Math.max(1, rest.length)
-    return [...latest, ...turn].flatMap((record) => record?.report ?? [])
+    const recentChanges = byChange.slice(0, MAX_RELAYED_REPORTS / 2).filter((record) => now - record.changedAt < CHANGE_RELAY_MS)
+    const others = byChange.slice(recentChanges.length).sort((left, right) => left.report.nodeId < right.report.nodeId ? -1 : 1)
+    const rotationSize = Math.min(MAX_RELAYED_REPORTS / 2, Math.ceil(others.length * ROTATION_RATIO))
+    const rotation = Array.from({ length: rotationSize }, (_, index) => others[(this.nextRelayIndex + index) % others.length])
+    this.nextRelayIndex = (this.nextRelayIndex + rotationSize) % Math.max(1, others.length)
+    return [...recentChanges, ...rotation].flatMap((record) => record?.report ?? [])
   }
 }
 
--- a/packages/steering/test/common/lookup/clientBlocks.test.ts
+++ b/packages/steering/test/common/lookup/clientBlocks.test.ts
@@ -1,4 +1,4 @@
-/** The table of client blocks agrees with a linear longest match over all prefixes. */
+/** Tests that the table of client blocks agrees with a linear search for the longest matching prefix. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
@@ -21,7 +21,7 @@
   return group
 }
 
-/** Few distinct bytes, so that prefixes nest and touch often, at the ends of the address space too. */
+/** Few distinct bytes, so that prefixes are often nested or adjacent, also at the ends of the address space. */
 const byteArbitrary = fc.constantFrom(0, 1, 127, 128, 254, 255)
 const ipv4Arbitrary = fc.array(byteArbitrary, { minLength: 4, maxLength: 4 }).map((bytes) => bytes.join('.'))
 const ipv6Arbitrary = fc.array(fc.tuple(byteArbitrary, byteArbitrary), { minLength: 8, maxLength: 8 })
@@ -43,7 +43,7 @@
     }), { seed: SEED, numRuns: 500 })
   })
 
-  it('built in slices from the table before it, equals one that is built anew', () => {
+  it('gives the same results when built in slices from the previous table', () => {
     const groupsArbitrary = fc.array(fc.array(prefixArbitrary, { maxLength: 8 }), { minLength: 3, maxLength: 3 })
     const addresses = fc.array(fc.oneof(ipv4Arbitrary, ipv6Arbitrary), { minLength: 1, maxLength: 10 })
     const changes = fc.array(fc.tuple(fc.nat({ max: 2 }), fc.array(prefixArbitrary, { maxLength: 8 })), { maxLength: 4 })
@@ -62,7 +62,7 @@
     }), { seed: SEED, numRuns: 100 })
   })
 
-  it('finds the right one of many that differ only behind their first 52 bits, and of many that do not', () => {
+  it('finds the right prefix among many with equal first 52 bits, and among many with different ones', () => {
     const buildBlock = (index: number): ClientBlock => ({ prefix: `2001:db8:0:${(index >> 12).toString(16)}::${(index & 0xfff).toString(16)}/128`, group: String(index % 7) })
     const table = ClientBlockTable.build(Array.from({ length: 20_000 }, (_, index) => buildBlock(index)))
     fc.assert(fc.property(fc.integer({ min: 0, max: 19_999 }), (index) => {
@@ -73,23 +73,23 @@
     assert.equal(table.find('2001:db7:ffff::'), undefined)
   })
 
-  it('yields at least once in a few thousand steps', () => {
+  it('yields at least once in a few thousand operations', () => {
     const prefixes = Array.from({ length: 20_000 }, (_, index) => `10.${index >> 8}.${index & 255}.0/24`)
     const work = ClientBlockTable.buildInSlices([{ group: 'a', prefixes }])
     let slices = 0
     while (work.next().done !== true) slices++
-    // Parsing, counting three digits, moving by the two that differ, copying, the sweep: 8 rounds of 20,000 steps.
+    // 8 passes of 20,000 operations: parsing, counting three digits, moving by the two that differ, copying, and building the intervals.
     assert.ok(slices >= 8 * 4, `${slices} slices`)
   })
 
-  it('reads IPv4-mapped addresses and prefixes as IPv4', () => {
+  it('treats IPv4-mapped addresses and prefixes as IPv4', () => {
     const table = ClientBlockTable.build([{ prefix: '10.0.0.0/8', group: 'a' }, { prefix: '::ffff:10.1.0.0/112', group: 'b' }])
     assert.equal(table.find('::ffff:10.2.3.4'), 'a')
     assert.equal(table.find('::FFFF:10.1.3.4'), 'b')
     assert.equal(table.find('::ffff:a01:304'), 'b')
   })
 
-  it('finds nothing for what is no address', () => {
+  it('finds nothing for invalid addresses', () => {
     const table = ClientBlockTable.build([{ prefix: '0.0.0.0/0', group: 'a' }, { prefix: '::/0', group: 'b' }])
     for (const text of ['', '1.2.3', '1.2.3.4.5', '1.2.3.256', '1..2.3', '1.2.3.', '0001.2.3.4', 'x', '1.2.3.4x', '::g', '::ffff:1.2.3']) {
       assert.equal(table.find(text), undefined, text)
--- a/packages/steering/test/common/lookup/decideLookup.test.ts
+++ b/packages/steering/test/common/lookup/decideLookup.test.ts
@@ -1,4 +1,4 @@
-/** Look-ups: live entry VMs of the caller's region, spread over failure domains, else the nearest. */
+/** Tests that lookups name live entry VMs of the caller's region, spread over failure domains, or else of the nearest region. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
@@ -10,10 +10,10 @@
 const SEED = 20_253
 const SERVICE = 'escort-svc'
 
-function buildNodes (stateOf: (nodeId: string) => NodeState = () => NodeState.Live): LookupNode[] {
+function buildNodes (getState: (nodeId: string) => NodeState = () => NodeState.Live): LookupNode[] {
   return ['klang', 'penang', 'kuching'].flatMap((region) => ['a1', 'a2', 'b1', 'b2'].map((suffix) => {
     const nodeId = `${region}-${suffix}`
-    return { nodeId, region, failureDomain: `${region}-${suffix[0]}`, address: `${nodeId}:80`, state: stateOf(nodeId) }
+    return { nodeId, region, failureDomain: `${region}-${suffix[0]}`, address: `${nodeId}:80`, state: getState(nodeId) }
   }))
 }
 
@@ -31,7 +31,7 @@
     assert.equal(LookupIndex.build(configuration, 7, nodes).find('constructor', 'penang'), undefined)
   })
 
-  it('leaves out all that are not live and goes to the nearest region without any', () => {
+  it('leaves out nodes that are not live, and uses the nearest other region if none is left', () => {
     const configuration = buildSampleConfiguration()
     configuration.links.splice(0, Infinity, { from: 'klang', to: 'penang', oneWayMs: 9, maxConcurrency: 1 }, { from: 'klang', to: 'kuching', oneWayMs: 5, maxConcurrency: 1 })
     const decideState = (nodeId: string): NodeState => nodeId.startsWith('klang') ? NodeState.Leaving : nodeId === 'kuching-a1' ? NodeState.Suspected : NodeState.Live
@@ -44,13 +44,13 @@
 })
 
 describe('rankByRendezvous', () => {
-  it('agrees whatever the order of ids, and keeps the order of those that stay', () => {
+  it('doesn\'t depend on the order of ids, and keeps the order of the others when one is removed', () => {
     const ids = fc.uniqueArray(fc.string({ minLength: 1 }), { minLength: 1, maxLength: 20 })
     fc.assert(fc.property(fc.string(), ids, fc.nat(), (key, given, index) => {
       const ranked = rankByRendezvous(key, given)
       assert.deepEqual(rankByRendezvous(key, [...given].reverse()), ranked)
-      const gone = given[index % given.length] as string
-      assert.deepEqual(rankByRendezvous(key, given.filter((id) => id !== gone)), ranked.filter((id) => id !== gone))
+      const removed = given[index % given.length] as string
+      assert.deepEqual(rankByRendezvous(key, given.filter((id) => id !== removed)), ranked.filter((id) => id !== removed))
     }), { seed: SEED })
   })
 })
--- a/packages/steering/test/common/membership/membership.test.ts
+++ b/packages/steering/test/common/membership/membership.test.ts
@@ -1,19 +1,19 @@
-/** Membership from a list that lags and lies, and from reports that come late, twice and by detours. */
+/** Tests membership with a VM list that is delayed or wrong, and with reports that are delayed, duplicated or relayed. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { EMPTY_BELIEVED_LIST, MISSING_HOLD_SPAN_MS, RESET_HOLD_SPAN_MS, SHRUNK_HOLD_SPAN_MS, stepBelievedList } from '../../../src/common/membership/believedList.js'
+import { EMPTY_BELIEVED_LIST, MISSING_VM_HOLD_MS, VERSION_RESET_DELAY_MS, SHRUNK_LIST_HOLD_MS, stepBelievedList } from '../../../src/common/membership/believedList.js'
 import { type MemberReport, mergeReports } from '../../../src/common/membership/memberReport.js'
-import { MemberTable, RELAY_LIMIT } from '../../../src/common/membership/memberTable.js'
+import { MemberTable, MAX_RELAYED_REPORTS } from '../../../src/common/membership/memberTable.js'
 import { type VmEntry, VmRole, VmState } from '../../../src/common/ports/vmList.js'
 import { NodeState } from '../../../src/common/state/nodeState.js'
 
 const SEED = 5_172
-const RUNS = { seed: SEED, numRuns: 200 }
-const SILENCE_SPAN_MS = 4000
+const PROPERTY_OPTIONS = { seed: SEED, numRuns: 200 }
+const SUSPECT_TIMEOUT_MS = 4000
 
-function createReport (nodeId: string, beat: number, more: Partial<MemberReport> = {}): MemberReport {
-  return { nodeId, incarnation: 1, beat, state: NodeState.Live, documents: [], demand: [], isSuspected: false, ...more }
+function createReport (nodeId: string, beat: number, overrides: Partial<MemberReport> = {}): MemberReport {
+  return { nodeId, incarnation: 1, beat, state: NodeState.Live, documents: [], demand: [], isSuspected: false, ...overrides }
 }
 
 function createVm (vmId: string): VmEntry {
@@ -24,43 +24,43 @@
   .map(({ incarnation, beat, isSuspected }) => createReport('a', beat, { incarnation, isSuspected }))
 
 describe('reports of one node', () => {
-  it('join to the same in any order and however often each comes', () => {
-    const join = (reports: readonly MemberReport[]): MemberReport | undefined =>
+  it('merge to the same result in any order and with duplicates', () => {
+    const mergeAll = (reports: readonly MemberReport[]): MemberReport | undefined =>
       reports.reduce<MemberReport | undefined>((known, report) => mergeReports(known, report), undefined)
-    fc.assert(fc.property(fc.array(reportArbitrary, { minLength: 1, maxLength: 8 }), fc.infiniteStream(fc.nat()), (reports, picks) => {
-      const shuffled = reports.map((report) => ({ report, key: picks.next().value ?? 0 })).sort((left, right) => left.key - right.key).map(({ report }) => report)
-      assert.deepEqual(join([...shuffled, ...reports]), join(reports))
-    }), RUNS)
+    fc.assert(fc.property(fc.array(reportArbitrary, { minLength: 1, maxLength: 8 }), fc.infiniteStream(fc.nat()), (reports, shuffleKeys) => {
+      const shuffled = reports.map((report) => ({ report, key: shuffleKeys.next().value ?? 0 })).sort((left, right) => left.key - right.key).map(({ report }) => report)
+      assert.deepEqual(mergeAll([...shuffled, ...reports]), mergeAll(reports))
+    }), PROPERTY_OPTIONS)
   })
 
-  it('a newer beat ends any suspicion of older ones, also if the suspicion comes after it', () => {
+  it('a newer heartbeat ends any suspicion of older ones, even if the suspicion arrives after it', () => {
     fc.assert(fc.property(fc.array(reportArbitrary, { maxLength: 8 }), (reports) => {
-      const alive = createReport('a', 5, { incarnation: 3 })
+      const newestReport = createReport('a', 5, { incarnation: 3 })
       const table = new MemberTable('self')
-      for (const report of [...reports, alive, ...reports]) table.observe(report, 0)
+      for (const report of [...reports, newestReport, ...reports]) table.observe(report, 0)
       assert.equal(table.getState('a', 0), NodeState.Live)
-    }), RUNS)
+    }), PROPERTY_OPTIONS)
   })
 })
 
 describe('member table', () => {
-  it('suspects a silent node at its deadline; duplicates and late relays are no sign of life', () => {
-    // A VM dies. Its last heartbeats are still relayed around; callers would be
-    // sent to the dead VM for as long as old reports went round.
+  it('suspects a node without heartbeats at its deadline; duplicate and late reports don\'t postpone it', () => {
+    // Failure: a VM dies and its last heartbeats are still relayed. If they counted,
+    // callers would be sent to the dead VM as long as old reports circulate.
     const table = new MemberTable('self')
     table.observe(createReport('a', 7), 0)
-    for (let now = 500; now < SILENCE_SPAN_MS; now += 500) {
+    for (let now = 500; now < SUSPECT_TIMEOUT_MS; now += 500) {
       assert.equal(table.observe(createReport('a', 7), now), false)
       assert.equal(table.observe(createReport('a', 6), now), false)
       assert.equal(table.getState('a', now), NodeState.Live)
     }
-    assert.deepEqual(table.markSilent(SILENCE_SPAN_MS), ['a'])
-    assert.equal(table.getState('a', SILENCE_SPAN_MS), NodeState.Suspected)
-    assert.equal(table.observe(createReport('a', 8), SILENCE_SPAN_MS + 1), true)
-    assert.equal(table.getState('a', SILENCE_SPAN_MS + 1), NodeState.Live)
+    assert.deepEqual(table.markSilent(SUSPECT_TIMEOUT_MS), ['a'])
+    assert.equal(table.getState('a', SUSPECT_TIMEOUT_MS), NodeState.Suspected)
+    assert.equal(table.observe(createReport('a', 8), SUSPECT_TIMEOUT_MS + 1), true)
+    assert.equal(table.getState('a', SUSPECT_TIMEOUT_MS + 1), NodeState.Live)
   })
 
-  it('passes a suspicion on to a node that never spoke to the dead one', () => {
+  it('relays a suspicion to a node that has no contact with the dead one', () => {
     const near = new MemberTable('near')
     const far = new MemberTable('far')
     near.updateSize(400, ['a'])
@@ -73,9 +73,9 @@
     assert.equal(far.getState('a', 30_000), NodeState.Suspected)
   })
 
-  it('a node paused past everybody’s deadline takes nobody for dead once it hears newer beats, and is believed itself', () => {
-    // A daemon is stopped for a minute and goes on. To it, everybody was silent; its
-    // word must not make the others suspect each other.
+  it('a node that was paused suspects all others until it receives newer heartbeats, and doesn\'t make others suspect each other', () => {
+    // Failure: a daemon is paused for a minute and resumes. It has missed the heartbeats
+    // of all nodes; its relayed suspicions must not make the others suspect each other.
     const paused = new MemberTable('paused')
     const other = new MemberTable('other')
     paused.observe(createReport('a', 5), 0)
@@ -87,23 +87,23 @@
     assert.equal(paused.getState('a', 60_001), NodeState.Live)
   })
 
-  it('an old process’s messages change nothing after a restart', () => {
+  it('messages of the previous process change nothing after a restart', () => {
     const table = new MemberTable('self')
     table.observe(createReport('a', 1, { incarnation: 2, state: NodeState.Joining }), 0)
     table.observe(createReport('a', 900, { incarnation: 1, state: NodeState.Leaving }), 1)
     assert.equal(table.getState('a', 1), NodeState.Joining)
   })
 
-  it('relays a bounded part; the newest change at once, and every node in turn', () => {
+  it('relays a bounded number of reports: the latest change first, and all nodes in rotation', () => {
     const table = new MemberTable('self')
     const count = 200
     for (let index = 0; index < count; index++) table.observe(createReport(`n${index}`, 1), index)
     table.observe(createReport('n3', 2, { state: NodeState.Leaving }), 1000)
     assert.equal(table.listRelayed(1000)[0]?.nodeId, 'n3')
     const seen = new Set<string>()
-    for (let round = 0; round < 2 * count / RELAY_LIMIT + 1; round++) {
+    for (let round = 0; round < 2 * count / MAX_RELAYED_REPORTS + 1; round++) {
       const relayed = table.listRelayed(1000)
-      assert.ok(relayed.length <= RELAY_LIMIT)
+      assert.ok(relayed.length <= MAX_RELAYED_REPORTS)
       relayed.forEach((report) => seen.add(report.nodeId))
     }
     assert.equal(seen.size, count)
@@ -112,40 +112,40 @@
 
 describe('VM list', () => {
   const vms = Array.from({ length: 12 }, (_, index) => createVm(`entry-${index}`))
-  const isSilent = (): boolean => false
-  const full = stepBelievedList(EMPTY_BELIEVED_LIST, { version: 5, vms }, { now: 0, isHeard: isSilent })
+  const isNotResponding = (): boolean => false
+  const full = stepBelievedList(EMPTY_BELIEVED_LIST, { version: 5, vms }, { now: 0, isHeard: isNotResponding })
 
-  it('an empty or shrunken list takes nobody away before the long hold, and a full one later makes it forgotten', () => {
-    // The list service answers with nothing for a minute. Believed, it would leave
-    // every daemon alone with itself, each using all slots of every worker.
+  it('an empty or shrunken list removes no VM before the long hold time ends, and a complete list cancels the removal', () => {
+    // Failure: the list service returns an empty list for a minute. If it were accepted,
+    // each daemon would consider itself the only one and use all slots of every worker.
     fc.assert(fc.property(fc.integer({ min: 0, max: 5 }), (left) => {
       const shrunken = { version: 6, vms: vms.slice(0, left) }
-      let believed = full
-      for (let now = 1000; now < SHRUNK_HOLD_SPAN_MS; now += 1000) {
-        believed = stepBelievedList(believed, shrunken, { now, isHeard: isSilent })
-        assert.equal(believed.vms.size, 12)
+      let effective = full
+      for (let now = 1000; now < SHRUNK_LIST_HOLD_MS; now += 1000) {
+        effective = stepBelievedList(effective, shrunken, { now, isHeard: isNotResponding })
+        assert.equal(effective.vms.size, 12)
       }
-      const restored = stepBelievedList(believed, { version: 7, vms }, { now: SHRUNK_HOLD_SPAN_MS, isHeard: isSilent })
+      const restored = stepBelievedList(effective, { version: 7, vms }, { now: SHRUNK_LIST_HOLD_MS, isHeard: isNotResponding })
       assert.ok([...restored.vms.values()].every(({ dropAt }) => dropAt === undefined))
-      const dropped = stepBelievedList(believed, shrunken, { now: SHRUNK_HOLD_SPAN_MS + 1000, isHeard: isSilent })
+      const dropped = stepBelievedList(effective, shrunken, { now: SHRUNK_LIST_HOLD_MS + 1000, isHeard: isNotResponding })
       assert.equal(dropped.vms.size, left)
-    }), RUNS)
+    }), PROPERTY_OPTIONS)
   })
 
-  it('one VM that is missing goes after a short hold, but not while its daemon is heard', () => {
-    const without = { version: 6, vms: vms.slice(1) }
-    const held = stepBelievedList(full, without, { now: 1000, isHeard: isSilent })
-    assert.equal(held.vms.size, 12)
-    const after = { now: 1000 + MISSING_HOLD_SPAN_MS }
-    assert.equal(stepBelievedList(held, without, { ...after, isHeard: isSilent }).vms.size, 11)
-    assert.equal(stepBelievedList(held, without, { ...after, isHeard: (vmId) => vmId === 'entry-0' }).vms.size, 12)
+  it('one missing VM is removed after the short hold time, but not while its daemon responds', () => {
+    const listWithoutFirst = { version: 6, vms: vms.slice(1) }
+    const afterMissing = stepBelievedList(full, listWithoutFirst, { now: 1000, isHeard: isNotResponding })
+    assert.equal(afterMissing.vms.size, 12)
+    const after = { now: 1000 + MISSING_VM_HOLD_MS }
+    assert.equal(stepBelievedList(afterMissing, listWithoutFirst, { ...after, isHeard: isNotResponding }).vms.size, 11)
+    assert.equal(stepBelievedList(afterMissing, listWithoutFirst, { ...after, isHeard: (vmId) => vmId === 'entry-0' }).vms.size, 12)
   })
 
-  it('an older version is ignored, unless the list stays there because its count began anew', () => {
-    const old = { version: 2, vms: [...vms, createVm('entry-99')] }
-    const ignored = stepBelievedList(full, old, { now: 1000, isHeard: isSilent })
+  it('an older version is ignored, unless it persists because the version counter was reset', () => {
+    const olderList = { version: 2, vms: [...vms, createVm('entry-99')] }
+    const ignored = stepBelievedList(full, olderList, { now: 1000, isHeard: isNotResponding })
     assert.equal(ignored.vms.size, 12)
-    const believed = stepBelievedList(ignored, old, { now: 1000 + RESET_HOLD_SPAN_MS, isHeard: isSilent })
-    assert.deepEqual([believed.vms.size, believed.version], [13, 2])
+    const effective = stepBelievedList(ignored, olderList, { now: 1000 + VERSION_RESET_DELAY_MS, isHeard: isNotResponding })
+    assert.deepEqual([effective.vms.size, effective.version], [13, 2])
   })
 })
