--- a/packages/steering/src/common/plan/measurements.ts
+++ b/packages/steering/src/common/plan/measurements.ts
@@ -86,9 +86,9 @@
  * @returns whether a step may be based on them
  */
 export function hasFreshMeasurements (state: MeasurementState, requirement: MeasurementRequirement): boolean {
-  const heardMembers = state.members.filter((member) => member.isHeard)
-  if (heardMembers.length * 2 <= state.members.length) return false
-  return heardMembers.every(({ nodeId }) => {
+  const liveMembers = state.members.filter((member) => member.isHeard)
+  if (liveMembers.length * 2 <= state.members.length) return false
+  return liveMembers.every(({ nodeId }) => {
     const known = state.byNode.get(nodeId)
     return known !== undefined && known.measuredAt >= requirement.notBefore && (known.inForce[requirement.service] ?? 0) >= requirement.version
   })
--- a/packages/steering/src/common/plan/nodePlan.ts
+++ b/packages/steering/src/common/plan/nodePlan.ts
@@ -20,6 +20,7 @@
  * this long, which is longer than the lease takes to pass to another node.
  */
 export const PLAN_STALL_TIMEOUT_MS = 8000
+/** Shifts up to this count as none, to absorb rounding errors. */
 const MAX_SETTLED_SHIFT_RATIO = 1e-9
 
 /** The state of one service at this node. */
--- a/packages/steering/src/common/plan/placement.ts
+++ b/packages/steering/src/common/plan/placement.ts
@@ -87,8 +87,8 @@
   for (const pair of tier) {
     const freePairCapacity = Math.min(pair.freeLinkCapacity, state.freeCapacity.get(pair.servingRegion) ?? 0)
     const totalFreeCapacity = freeCapacityByClient.get(pair.clientRegion) ?? 0
-    const regionDemand = state.remainingDemand.get(pair.clientRegion) ?? 0
-    if (freePairCapacity > EPSILON && regionDemand > EPSILON) offers.set(pair, Math.min(freePairCapacity, regionDemand * (freePairCapacity / totalFreeCapacity)))
+    const remainingDemand = state.remainingDemand.get(pair.clientRegion) ?? 0
+    if (freePairCapacity > EPSILON && remainingDemand > EPSILON) offers.set(pair, Math.min(freePairCapacity, remainingDemand * (freePairCapacity / totalFreeCapacity)))
   }
   return offers
 }
--- a/packages/steering/src/common/plan/regionStep.ts
+++ b/packages/steering/src/common/plan/regionStep.ts
@@ -16,6 +16,7 @@
 
 /** Key of the weight that is assigned to no failure domain. That traffic is refused, so the key's weight may grow and shrink without a capacity limit. */
 const UNPLANNED = ''
+/** Differences up to this count as zero, to absorb rounding errors. */
 const EPSILON = 1e-9
 
 function addUnplannedWeight (weights: DomainWeights): Map<string, number> {
--- a/packages/steering/src/common/plan/serviceStep.ts
+++ b/packages/steering/src/common/plan/serviceStep.ts
@@ -17,6 +17,7 @@
 /** A place whose workers reach this mean utilization is overloaded and gains no traffic. */
 export const OVERLOAD_UTILIZATION_RATIO = 0.95
 
+/** Shifts up to this count as none, to absorb rounding errors. */
 const MAX_SETTLED_SHIFT_RATIO = 1e-6
 
 /** The input of one step of one service. */
@@ -54,6 +55,7 @@
   readonly target: Weights
   /** The largest fraction of any client region's traffic that moves. */
   readonly shift: number
+  /** Whether a failed place still has weight, so that the emergency cap applies. */
   readonly isEmergency: boolean
 }
 
--- a/packages/steering/test/common/membership/membership.test.ts
+++ b/packages/steering/test/common/membership/membership.test.ts
@@ -112,8 +112,8 @@
 
 describe('VM list', () => {
   const vms = Array.from({ length: 12 }, (_, index) => createVm(`entry-${index}`))
-  const isNotResponding = (): boolean => false
-  const full = stepBelievedList(EMPTY_BELIEVED_LIST, { version: 5, vms }, { now: 0, isHeard: isNotResponding })
+  const isRespondingNever = (): boolean => false
+  const full = stepBelievedList(EMPTY_BELIEVED_LIST, { version: 5, vms }, { now: 0, isHeard: isRespondingNever })
 
   it('an empty or shrunken list removes no VM before the long hold time ends, and a complete list cancels the removal', () => {
     // Failure: the list service returns an empty list for a minute. If it were accepted,
@@ -122,30 +122,30 @@
       const shrunken = { version: 6, vms: vms.slice(0, left) }
       let effective = full
       for (let now = 1000; now < SHRUNK_LIST_HOLD_MS; now += 1000) {
-        effective = stepBelievedList(effective, shrunken, { now, isHeard: isNotResponding })
+        effective = stepBelievedList(effective, shrunken, { now, isHeard: isRespondingNever })
         assert.equal(effective.vms.size, 12)
       }
-      const restored = stepBelievedList(effective, { version: 7, vms }, { now: SHRUNK_LIST_HOLD_MS, isHeard: isNotResponding })
+      const restored = stepBelievedList(effective, { version: 7, vms }, { now: SHRUNK_LIST_HOLD_MS, isHeard: isRespondingNever })
       assert.ok([...restored.vms.values()].every(({ dropAt }) => dropAt === undefined))
-      const dropped = stepBelievedList(effective, shrunken, { now: SHRUNK_LIST_HOLD_MS + 1000, isHeard: isNotResponding })
+      const dropped = stepBelievedList(effective, shrunken, { now: SHRUNK_LIST_HOLD_MS + 1000, isHeard: isRespondingNever })
       assert.equal(dropped.vms.size, left)
     }), PROPERTY_OPTIONS)
   })
 
   it('one missing VM is removed after the short hold time, but not while its daemon responds', () => {
     const listWithoutFirst = { version: 6, vms: vms.slice(1) }
-    const afterMissing = stepBelievedList(full, listWithoutFirst, { now: 1000, isHeard: isNotResponding })
+    const afterMissing = stepBelievedList(full, listWithoutFirst, { now: 1000, isHeard: isRespondingNever })
     assert.equal(afterMissing.vms.size, 12)
     const after = { now: 1000 + MISSING_VM_HOLD_MS }
-    assert.equal(stepBelievedList(afterMissing, listWithoutFirst, { ...after, isHeard: isNotResponding }).vms.size, 11)
+    assert.equal(stepBelievedList(afterMissing, listWithoutFirst, { ...after, isHeard: isRespondingNever }).vms.size, 11)
     assert.equal(stepBelievedList(afterMissing, listWithoutFirst, { ...after, isHeard: (vmId) => vmId === 'entry-0' }).vms.size, 12)
   })
 
   it('an older version is ignored, unless it persists because the version counter was reset', () => {
     const olderList = { version: 2, vms: [...vms, createVm('entry-99')] }
-    const ignored = stepBelievedList(full, olderList, { now: 1000, isHeard: isNotResponding })
+    const ignored = stepBelievedList(full, olderList, { now: 1000, isHeard: isRespondingNever })
     assert.equal(ignored.vms.size, 12)
-    const effective = stepBelievedList(ignored, olderList, { now: 1000 + VERSION_RESET_DELAY_MS, isHeard: isNotResponding })
+    const effective = stepBelievedList(ignored, olderList, { now: 1000 + VERSION_RESET_DELAY_MS, isHeard: isRespondingNever })
     assert.deepEqual([effective.vms.size, effective.version], [13, 2])
   })
 })
