--- a/packages/steering/src/common/plan/planner.ts
+++ b/packages/steering/src/common/plan/planner.ts
@@ -18,7 +18,7 @@
 import { computeShift, stepToward } from './stepPlan.js'
 import { computeMeasurementRequestTime, MIN_MEASUREMENT_DELAY_RATIO } from './stepTiming.js'
 
-/** Interval of checks of a settled service; a check is the planner's most expensive operation. */
+/** Interval between checks of a settled service; a check is the planner's most expensive operation. */
 const RECHECK_INTERVAL_MS = 500
 
 type EventOf<Kind extends PlannerEventKind> = Extract<PlannerEvent, { kind: Kind }>
--- a/packages/steering/test/common/plan/plan.test.ts
+++ b/packages/steering/test/common/plan/plan.test.ts
@@ -50,9 +50,9 @@
   for (let mask = 0; mask < 2 ** REGIONS.length; mask++) {
     const inside = REGIONS.filter((_, index) => (mask >> index) % 2 === 1)
     let cut = REGIONS.filter((region) => !inside.includes(region)).reduce((sum, region) => sum + (demand[region] ?? 0), 0)
-    for (const server of REGIONS) {
-      const links = inside.map((client) => client === server ? Infinity : configuration.links.find((link) => link.from === client && link.to === server)?.maxConcurrency ?? 0)
-      cut += Math.min(capacities.get(server)?.total ?? 0, links.reduce((sum, link) => sum + link, 0))
+    for (const servingRegion of REGIONS) {
+      const links = inside.map((clientRegion) => clientRegion === servingRegion ? Infinity : configuration.links.find((link) => link.from === clientRegion && link.to === servingRegion)?.maxConcurrency ?? 0)
+      cut += Math.min(capacities.get(servingRegion)?.total ?? 0, links.reduce((sum, link) => sum + link, 0))
     }
     minCut = Math.min(minCut, cut)
   }
@@ -67,12 +67,12 @@
       const demand = topology.demand as Record<string, number>
       const capacities = computeRegionCapacities(configuration, SERVICE, unavailable)
       const { placed, unplaced } = computePlacement({ configuration, capacities, demand, otherLinkLoads: {} })
-      for (const server of REGIONS) {
-        const total = REGIONS.reduce((sum, client) => sum + (placed[client]?.[server] ?? 0), 0)
-        assert.ok(total <= (capacities.get(server)?.total ?? 0) + EPSILON, `${server} takes ${total}`)
-        for (const client of REGIONS) {
-          const link = configuration.links.find((candidate) => candidate.from === client && candidate.to === server)
-          if (client !== server) assert.ok((placed[client]?.[server] ?? 0) <= (link?.maxConcurrency ?? 0) + EPSILON)
+      for (const servingRegion of REGIONS) {
+        const total = REGIONS.reduce((sum, clientRegion) => sum + (placed[clientRegion]?.[servingRegion] ?? 0), 0)
+        assert.ok(total <= (capacities.get(servingRegion)?.total ?? 0) + EPSILON, `${servingRegion} takes ${total}`)
+        for (const clientRegion of REGIONS) {
+          const link = configuration.links.find((candidate) => candidate.from === clientRegion && candidate.to === servingRegion)
+          if (clientRegion !== servingRegion) assert.ok((placed[clientRegion]?.[servingRegion] ?? 0) <= (link?.maxConcurrency ?? 0) + EPSILON)
         }
       }
       const served = Object.values(placed).reduce((sum, byServer) => sum + computeSum(byServer), 0)
@@ -89,12 +89,12 @@
       const capacities = computeRegionCapacities(configuration, SERVICE, unavailable)
       const { weights } = computeTargetPlan(configuration, SERVICE, unavailable, demand)
       const loads = new Map<string, number>()
-      for (const [client, byDomain] of Object.entries(weights)) {
+      for (const [clientRegion, byDomain] of Object.entries(weights)) {
         const sum = computeSum(byDomain)
-        assert.ok(Object.keys(byDomain).length === 0 || Math.abs(sum - 1) < EPSILON, `weights of ${client} sum to ${sum}`)
+        assert.ok(Object.keys(byDomain).length === 0 || Math.abs(sum - 1) < EPSILON, `weights of ${clientRegion} sum to ${sum}`)
         for (const [domain, weight] of Object.entries(byDomain)) {
           assert.ok(!unavailable.has(domain) && !topology.drained.includes(domain))
-          loads.set(domain, (loads.get(domain) ?? 0) + weight * (demand[client] ?? 0))
+          loads.set(domain, (loads.get(domain) ?? 0) + weight * (demand[clientRegion] ?? 0))
         }
       }
       const { unplaced } = computePlacement({ configuration, capacities, demand, otherLinkLoads: {} })
--- a/packages/steering/test/common/plan/planCluster.ts
+++ b/packages/steering/test/common/plan/planCluster.ts
@@ -136,7 +136,7 @@
     assert.ok(this.now - before.steppedAt >= settleMs, 'a node took two steps within the settle time')
   }
 
-  /** A node takes a measurement; it arrives when {@link deliverMeasurement} selects it. */
+  /** A node takes a measurement; it arrives when {@link PlanCluster.deliverMeasurement} selects it. */
   sendMeasurement (node: number): void {
     this.delayedMeasurements.push(this.measure(node))
   }
--- a/packages/steering/test/common/plan/planner.test.ts
+++ b/packages/steering/test/common/plan/planner.test.ts
@@ -11,7 +11,8 @@
 import { NODE_COUNT, PlanCluster, PLANNER_COUNT } from './planCluster.js'
 
 const PROPERTY_OPTIONS = { seed: SEED, numRuns: 100 }
-const SETTLE_PERIOD_MS = 25_000
+/** Long enough for every move to reach its target. */
+const CONVERGENCE_MS = 25_000
 
 type Operation = (cluster: PlanCluster) => void
 const indexArbitrary = fc.nat({ max: 20 })
@@ -46,12 +47,12 @@
 function startSettledCluster (topology: SteeringConfiguration, demand: Record<string, number>): PlanCluster {
   const cluster = new PlanCluster(topology, demand)
   cluster.acquireLease(0)
-  cluster.runWithoutFaults(SETTLE_PERIOD_MS)
+  cluster.runWithoutFaults(CONVERGENCE_MS)
   return cluster
 }
 
 function getMaxWeight (cluster: PlanCluster, domain: string): number {
-  return Math.max(...REGIONS.map((client) => cluster.newest?.weights[client]?.[domain] ?? 0))
+  return Math.max(...REGIONS.map((clientRegion) => cluster.newest?.weights[clientRegion]?.[domain] ?? 0))
 }
 
 describe('planner under random interleavings', () => {
@@ -91,9 +92,9 @@
       cluster.setFailed(undefined)
       cluster.setStoreAvailable(0, true)
       cluster.acquireLease(0)
-      cluster.runWithoutFaults(SETTLE_PERIOD_MS + SETTLE_PERIOD_MS)
+      cluster.runWithoutFaults(CONVERGENCE_MS + CONVERGENCE_MS)
       const version = cluster.newest?.version
-      cluster.runWithoutFaults(SETTLE_PERIOD_MS)
+      cluster.runWithoutFaults(CONVERGENCE_MS)
       assert.equal(cluster.newest?.version, version)
       assert.ok(cluster.nodes.every(({ service }) => isAtPlan(service)))
     }), { ...PROPERTY_OPTIONS, numRuns: 15 })
@@ -105,7 +106,7 @@
     fc.assert(fc.property(topologyArbitrary, demandArbitrary, (topology, demand) => {
       const cluster = startSettledCluster(topology, demand)
       const version = cluster.newest?.version
-      cluster.runWithoutFaults(SETTLE_PERIOD_MS)
+      cluster.runWithoutFaults(CONVERGENCE_MS)
       assert.equal(cluster.newest?.version, version)
     }), { ...PROPERTY_OPTIONS, numRuns: 15 })
   })
@@ -116,7 +117,7 @@
       const cluster = startSettledCluster(topology, demand)
       const before = cluster.newest
       for (const permille of noise) {
-        cluster.demand = Object.fromEntries(Object.entries(demand).map(([client, value]) => [client, value * (1 + permille / 1000)]))
+        cluster.demand = Object.fromEntries(Object.entries(demand).map(([clientRegion, value]) => [clientRegion, value * (1 + permille / 1000)]))
         cluster.runWithoutFaults(1000)
       }
       const moved = before === undefined || cluster.newest === undefined ? 1 : computeShift(before.weights, cluster.newest.weights)
@@ -128,7 +129,7 @@
     fc.assert(fc.property(topologyArbitrary, demandArbitrary, fc.constantFrom(...DOMAINS), (topology, demand, drained) => {
       const cluster = startSettledCluster(topology, demand)
       cluster.setDrains([drained])
-      cluster.runWithoutFaults(SETTLE_PERIOD_MS)
+      cluster.runWithoutFaults(CONVERGENCE_MS)
       assert.ok(getMaxWeight(cluster, drained) === 0)
     }), { ...PROPERTY_OPTIONS, numRuns: 15 })
   })
@@ -138,12 +139,12 @@
       const cluster = startSettledCluster(topology, demand)
       const from = cluster.storedPlans.length
       cluster.setDrains(drained)
-      cluster.runWithoutFaults(SETTLE_PERIOD_MS)
+      cluster.runWithoutFaults(CONVERGENCE_MS)
       for (let position = Math.max(1, from); position < cluster.storedPlans.length; position++) {
-        for (const client of REGIONS) {
+        for (const clientRegion of REGIONS) {
           for (const domain of drained) {
             const [before, after] = [cluster.storedPlans[position - 1], cluster.storedPlans[position]]
-            assert.ok((after?.weights[client]?.[domain] ?? 0) <= (before?.weights[client]?.[domain] ?? 0) + EPSILON)
+            assert.ok((after?.weights[clientRegion]?.[domain] ?? 0) <= (before?.weights[clientRegion]?.[domain] ?? 0) + EPSILON)
           }
         }
       }
@@ -158,7 +159,7 @@
       cluster.setDrains([drained])
       cluster.runWithoutFaults(spanMs)
       cluster.setDrains([])
-      cluster.runWithoutFaults(SETTLE_PERIOD_MS)
+      cluster.runWithoutFaults(CONVERGENCE_MS)
       assert.ok(before !== undefined && cluster.newest !== undefined)
       assert.ok(computeShift(before.weights, cluster.newest.weights) <= 0.05)
     }), { ...PROPERTY_OPTIONS, numRuns: 15 })
@@ -168,7 +169,7 @@
     fc.assert(fc.property(topologyArbitrary, demandArbitrary, fc.constantFrom(...DOMAINS), (topology, demand, drained) => {
       const cluster = startSettledCluster(topology, demand)
       const version = cluster.newest?.version
-      cluster.addTime(SETTLE_PERIOD_MS)
+      cluster.addTime(CONVERGENCE_MS)
       cluster.setDrains([drained])
       for (let round = 0; round < 50; round++) {
         cluster.renewLease(0)
@@ -184,7 +185,7 @@
     fc.assert(fc.property(topologyArbitrary, fc.constantFrom(...DOMAINS), (topology, drained) => {
       const cluster = startSettledCluster({ ...topology, shiftCaps: { ...topology.shiftCaps, whenStale: StaleRule.ByCapacity } }, {})
       cluster.areMeasurementsIgnored = true
-      cluster.addTime(SETTLE_PERIOD_MS)
+      cluster.addTime(CONVERGENCE_MS)
       cluster.setDrains([drained])
       for (let round = 0; round < 200; round++) {
         cluster.renewLease(0)
@@ -203,10 +204,10 @@
       const version = cluster.newest?.version
       cluster.setStoreAvailable(0, false)
       cluster.setFailed(failed)
-      cluster.runWithoutFaults(PLAN_STALL_TIMEOUT_MS + SETTLE_PERIOD_MS)
+      cluster.runWithoutFaults(PLAN_STALL_TIMEOUT_MS + CONVERGENCE_MS)
       assert.equal(cluster.newest?.version, version)
       for (const { service } of cluster.nodes) {
-        for (const client of REGIONS) assert.ok((service.inForce[client]?.[failed] ?? 0) < EPSILON)
+        for (const clientRegion of REGIONS) assert.ok((service.inForce[clientRegion]?.[failed] ?? 0) < EPSILON)
       }
     }), { ...PROPERTY_OPTIONS, numRuns: 15 })
   })
@@ -217,12 +218,12 @@
       const cluster = startSettledCluster(topology, demand)
       cluster.setStoreAvailable(0, false)
       cluster.setFailed(failed)
-      cluster.runWithoutFaults(PLAN_STALL_TIMEOUT_MS + SETTLE_PERIOD_MS)
+      cluster.runWithoutFaults(PLAN_STALL_TIMEOUT_MS + CONVERGENCE_MS)
       cluster.setStoreAvailable(0, true)
       for (let round = 0; round < 40; round++) {
         cluster.runWithoutFaults(500)
         for (const { service } of cluster.nodes) {
-          for (const client of REGIONS) assert.ok((service.inForce[client]?.[failed] ?? 0) < EPSILON)
+          for (const clientRegion of REGIONS) assert.ok((service.inForce[clientRegion]?.[failed] ?? 0) < EPSILON)
         }
       }
       assert.equal(getMaxWeight(cluster, failed), 0)
--- a/packages/steering/test/common/plan/serviceStep.test.ts
+++ b/packages/steering/test/common/plan/serviceStep.test.ts
@@ -42,8 +42,8 @@
       const before = computeDomainLoads(input.current, input.demand)
       const { weights } = decideServiceStep(input)
       for (const domain of DOMAINS) {
-        const gained = REGIONS.reduce((sum, client) => sum +
-          Math.max(0, (weights[client]?.[domain] ?? 0) - (input.current[client]?.[domain] ?? 0)) * (input.demand[client] ?? 0), 0)
+        const gained = REGIONS.reduce((sum, clientRegion) => sum +
+          Math.max(0, (weights[clientRegion]?.[domain] ?? 0) - (input.current[clientRegion]?.[domain] ?? 0)) * (input.demand[clientRegion] ?? 0), 0)
         if (gained < EPSILON) continue
         assert.ok((before.get(domain) ?? 0) + gained <= findPlaceCapacity(input.configuration, SERVICE, domain) + EPSILON)
       }
@@ -69,7 +69,7 @@
     fc.assert(fc.property(inputArbitrary, (input) => {
       const { weights } = decideServiceStep(input)
       for (const domain of input.configuration.drains.failureDomains) {
-        for (const client of REGIONS) assert.ok((weights[client]?.[domain] ?? 0) <= (input.current[client]?.[domain] ?? 0) + EPSILON)
+        for (const clientRegion of REGIONS) assert.ok((weights[clientRegion]?.[domain] ?? 0) <= (input.current[clientRegion]?.[domain] ?? 0) + EPSILON)
       }
     }), PROPERTY_OPTIONS)
   })
@@ -77,14 +77,14 @@
   it('failed places never gain weight', () => {
     fc.assert(fc.property(inputArbitrary, fc.constantFrom(...DOMAINS), (input, failed) => {
       const { weights } = decideServiceStep({ ...input, failed: new Set([failed]) })
-      for (const client of REGIONS) assert.ok((weights[client]?.[failed] ?? 0) <= (input.current[client]?.[failed] ?? 0) + EPSILON)
+      for (const clientRegion of REGIONS) assert.ok((weights[clientRegion]?.[failed] ?? 0) <= (input.current[clientRegion]?.[failed] ?? 0) + EPSILON)
     }), PROPERTY_OPTIONS)
   })
 
   it('overload: an overloaded place gains no weight', () => {
     fc.assert(fc.property(inputArbitrary, fc.constantFrom(...DOMAINS), (input, overloaded) => {
       const { weights } = decideServiceStep({ ...input, utilization: { [overloaded]: OVERLOAD_UTILIZATION_RATIO } })
-      for (const client of REGIONS) assert.ok((weights[client]?.[overloaded] ?? 0) <= (input.current[client]?.[overloaded] ?? 0) + EPSILON)
+      for (const clientRegion of REGIONS) assert.ok((weights[clientRegion]?.[overloaded] ?? 0) <= (input.current[clientRegion]?.[overloaded] ?? 0) + EPSILON)
     }), PROPERTY_OPTIONS)
   })
 
@@ -100,7 +100,7 @@
 
   it('hysteresis: a shift below the threshold starts no move', () => {
     fc.assert(fc.property(topologyArbitrary, demandArbitrary, fc.integer({ min: 1, max: 45 }), (configuration, demand, permille) => {
-      const light = Object.fromEntries(Object.entries(demand).map(([client, value]) => [client, value / 4]))
+      const light = Object.fromEntries(Object.entries(demand).map(([clientRegion, value]) => [clientRegion, value / 4]))
       const target = computeTargetPlan(configuration, SERVICE, new Set(), light, {}, 0.8).weights
       const part = permille / 1000
       const current = { ...target, klang: { ...scaleWeights(target.klang ?? {}, 1 - part), 'penang-a': part } }
@@ -142,7 +142,7 @@
     fc.assert(fc.property(topologyArbitrary, fc.constantFrom(...DOMAINS), (topology, drained) => {
       const demand = Object.fromEntries(REGIONS.map((region) => [region, 2]))
       const current = computeTargetPlan(topology, SERVICE, new Set(), demand, {}, 0.8).weights
-      const largest = Math.max(...REGIONS.map((client) => current[client]?.[drained] ?? 0))
+      const largest = Math.max(...REGIONS.map((clientRegion) => current[clientRegion]?.[drained] ?? 0))
       const prediction = predictDrain({ configuration: buildDrained(topology, [drained]), weights: { [SERVICE]: current }, demand: { [SERVICE]: demand }, failed: {} })
       assert.equal(prediction.steps.length, Math.ceil(largest / topology.shiftCaps.planned - EPSILON))
     }), PROPERTY_OPTIONS)
