--- a/packages/entry/src/common/entrySettings.ts
+++ b/packages/entry/src/common/entrySettings.ts
@@ -42,9 +42,11 @@
   longestLookupCache: duration,
   /** Time limit for a revoked key to stop working on all VMs, including partitioned ones. If omitted, there is no limit for VMs that don't receive changes. */
   revokeWithin: z.optional(duration),
+  /** How far the request rate that a cold worker tolerates may be exceeded: a factor, and requests per second on top. */
   coldTolerance: z.object({ factor: positiveNumber, slack: z.number().check(z.nonnegative()) }),
   /** How far the rate limits that workers announce may be exceeded in any 4 s. */
   rateTolerance: z._default(z.object({ factor: z.number().check(z.minimum(1)), slack: z.number().check(z.nonnegative()) }), { factor: 1.5, slack: 5 }),
+  /** Limits the retries of a service in a sliding window: retries per request, and an allowance on top for all entry VMs together. */
   repeatBudget: z.object({ ratio: z.number().check(z.nonnegative()), window: duration, slack: z.number().check(z.nonnegative()) }),
   /** How far client accounts may exceed their quotas. */
   quotaTolerance: z._default(z.object({ window: duration, over: z.number().check(z.nonnegative()), slack: z.number().check(z.nonnegative()) }), { window: 5_000, over: 0.1, slack: 0 }),
@@ -53,6 +55,7 @@
   memoryMb: positiveNumber,
   /** Bandwidth of this VM's network link in each direction, in megabits per second; omitted if unknown. */
   linkMbps: z.optional(positiveNumber),
+  /** Cost of a kilobyte sent to another failure domain or region, relative to the worth of a response in time. */
   byteCosts: z._default(z.object({ otherDomain: z.number(), otherRegion: z.number() }), { otherDomain: 0.004, otherRegion: 0.013 }),
   logLevel: z._default(z.enum(LogLevel), LogLevel.Info)
 })
--- a/packages/entry/src/node/accounts/accessGate.ts
+++ b/packages/entry/src/node/accounts/accessGate.ts
@@ -5,7 +5,7 @@
 import type { RoutePolicy } from '@umberspar/steering/common/entry/steeringDocument'
 import { computeKeyDigest, readCallerKey } from './callerKey.js'
 
-/** Access control by the records of this VM and the age of the proof that they are current. */
+/** Decides by the records of this VM and the age of the proof that they are current. */
 export class AccessController {
   /**
    * @param view the records
--- a/packages/entry/src/node/front/requestRun.ts
+++ b/packages/entry/src/node/front/requestRun.ts
@@ -35,6 +35,7 @@
   private readonly deadline: Deadline
   private readonly triedWorkers = new Set<string>()
   private currentAttempt: UpstreamAttempt | undefined
+  /** `refused` attempts were sent, so they count as `sent` too. */
   private readonly attemptCounts = { sent: 0, unsent: 0, refused: 0 }
   /** Name of the caller's client account. */
   private accountName: string | undefined
--- a/packages/entry/src/node/telemetry/entryTelemetry.ts
+++ b/packages/entry/src/node/telemetry/entryTelemetry.ts
@@ -20,13 +20,19 @@
   readonly hand: HandState
   /** The estimated probability of a cache hit at the worker. */
   readonly handChance: number
+  /** The number of this attempt for the request, from 1. */
   readonly offer: number
+  /** Expected time until the response, in milliseconds. */
   readonly expectedMs: number
+  /** Expected wait for a slot at the worker, in milliseconds. */
   readonly waitMs: number
+  /** The score of the worker: the expected worth of the response less its cost. */
   readonly value: number
-  /** Estimated number of requests in flight at the worker. */
+  /** Estimated number of requests in flight at the worker, from all entry VMs. */
   readonly held: number
+  /** Estimated share of requests that the worker fails, 0 to 1. */
   readonly failure: number
+  /** How many times slower the worker is than its service, at least 1. */
   readonly slowness: number
   readonly isCold: boolean
   readonly configuration: number
@@ -58,6 +64,7 @@
   readonly status: number
   readonly end: RequestOutcome
   readonly reason: EndReason
+  /** Number of attempts that were sent to a worker. */
   readonly offers: number
   readonly spanMs: number
   readonly goalMs: number | undefined
--- a/packages/entry/test/node/telemetry/boundedWriter.test.ts
+++ b/packages/entry/test/node/telemetry/boundedWriter.test.ts
@@ -17,7 +17,7 @@
       stalled.push(() => onWritten(null))
     }
     const drops = { [LinePriority.Routine]: 0, [LinePriority.Important]: 0 }
-    const writer = new BoundedLogWriter(clock, writeStalled, (urgency) => { drops[urgency]++ })
+    const writer = new BoundedLogWriter(clock, writeStalled, (priority) => { drops[priority]++ })
     for (let second = 0; second < 20; second++) {
       for (let index = 0; index < 500; index++) writer.write(LINE, LinePriority.Routine)
       for (let index = 0; index < 50; index++) writer.write(`failure ${second}-${index}`, LinePriority.Important)
