--- a/packages/steering/src/common/entry/accountTable.ts
+++ b/packages/steering/src/common/entry/accountTable.ts
@@ -38,10 +38,10 @@
  * @param account the caller's account, if it has one
  * @returns the regions, empty if all may serve it; undefined if none may
  */
-export function mergeHomes ({ homeRegions: routeHomes }: RoutePolicy, account: AccountPolicy | undefined): readonly string[] | undefined {
-  const accountHomes = account?.homeRegions ?? []
-  if (routeHomes.length === 0) return accountHomes
-  if (accountHomes.length === 0) return routeHomes
-  const both = routeHomes.filter((region) => accountHomes.includes(region))
-  return both.length === 0 ? undefined : both
+export function mergeHomes ({ homeRegions: routeRegions }: RoutePolicy, account: AccountPolicy | undefined): readonly string[] | undefined {
+  const accountRegions = account?.homeRegions ?? []
+  if (routeRegions.length === 0) return accountRegions
+  if (accountRegions.length === 0) return routeRegions
+  const shared = routeRegions.filter((region) => accountRegions.includes(region))
+  return shared.length === 0 ? undefined : shared
 }
--- a/packages/steering/src/common/entry/admission.ts
+++ b/packages/steering/src/common/entry/admission.ts
@@ -10,7 +10,7 @@
 import type { Choice } from './chooseUpstream.js'
 
 /** What a request is judged by, beside its choice. */
-export interface AdmissionCase {
+export interface AdmissionRequest {
   readonly now: Instant
   /** After that an answer is worth nothing. */
   readonly latestAt: Deadline
@@ -23,7 +23,7 @@
 }
 
 /** Below this expected worth, as a part of a timely answer, a request only takes a slot from others. */
-const LEAST_WORTH = 0.02
+const MIN_SCORE = 0.02
 /**
  * In a service without free slots, requests below this chance of an answer in time
  * are refused. All that is sent there takes the same slots; with queues short the
@@ -31,17 +31,17 @@
  * fifth of the worth. An object that is not at hand yet does not count against its
  * request: it will be at hand for the next.
  */
-const LEAST_PROMPTNESS = 0.35
+const MIN_ON_TIME_PROBABILITY = 0.35
 /** From this busyness on a service counts as without free slots. */
-const FULL_BUSYNESS = 0.9
+const FULL_SATURATION = 0.9
 
 /** Before anything is learned only the wait counts: it would never be learned that the work takes less than is taken for granted. */
-function isTooLate ({ value, expectedMs, waitMs }: Choice, { now, latestAt, isLearned }: AdmissionCase): boolean {
-  return value < LEAST_WORTH && now + (isLearned ? expectedMs : waitMs) > latestAt
+function isTooLate ({ value: score, expectedMs, waitMs }: Choice, { now, latestAt: deadline, isLearned: hasEnoughSamples }: AdmissionRequest): boolean {
+  return score < MIN_SCORE && now + (hasEnoughSamples ? expectedMs : waitMs) > deadline
 }
 
-function isCrowded ({ promptness }: Choice, { isLearned, wasSent, busyness }: AdmissionCase): boolean {
-  return !wasSent && isLearned && promptness < LEAST_PROMPTNESS && busyness >= FULL_BUSYNESS
+function isOverloaded ({ onTimeProbabilityOnHit }: Choice, { isLearned: hasEnoughSamples, wasSent, busyness: saturation }: AdmissionRequest): boolean {
+  return !wasSent && hasEnoughSamples && onTimeProbabilityOnHit < MIN_ON_TIME_PROBABILITY && saturation >= FULL_SATURATION
 }
 
 /**
@@ -49,6 +49,6 @@
  * @param request the request
  * @returns whether it is offered there; else it is refused
  */
-export function shouldOffer (choice: Choice, request: AdmissionCase): boolean {
-  return !isTooLate(choice, request) && !isCrowded(choice, request)
+export function shouldOffer (choice: Choice, request: AdmissionRequest): boolean {
+  return !isTooLate(choice, request) && !isOverloaded(choice, request)
 }
--- a/packages/steering/src/common/entry/applyRecord.ts
+++ b/packages/steering/src/common/entry/applyRecord.ts
@@ -14,13 +14,13 @@
   const kind = (record ?? previous)?.kind
   if (kind === undefined) return []
   // A newer entry VM may pass on kinds that this one does not know.
-  const apply: Applier | undefined = APPLIERS[kind]
+  const apply: RecordApplier | undefined = APPLIERS[kind]
   return apply?.(view, record, previous, now) ?? []
 }
 
-type Applier = (view: EntryView, record: SteeringRecord | undefined, previous: SteeringRecord | undefined, now: Instant) => ViewEvent[]
+type RecordApplier = (view: EntryView, record: SteeringRecord | undefined, previous: SteeringRecord | undefined, now: Instant) => ViewEvent[]
 
-const APPLIERS: Readonly<Record<RecordKind, Applier>> = {
+const APPLIERS: Readonly<Record<RecordKind, RecordApplier>> = {
   [RecordKind.Document]: (view, record) => {
     if (record?.kind !== RecordKind.Document) return []
     view.setDocument(record.value)
--- a/packages/steering/src/common/entry/warmthMemory.ts
+++ b/packages/steering/src/common/entry/cacheAffinity.ts
@@ -6,13 +6,13 @@
 import type { Instant } from '@umberspar/base/common/clock'
 
 /** How long a worker is believed to keep an object, in milliseconds. */
-const KEPT_MS = 12_000
+const CACHED_SPAN_MS = 12_000
 /** Objects remembered at most; the oldest go first. About 150 bytes each. */
-const MOST_OBJECTS = 20_000
+const MAX_OBJECTS = 20_000
 
 /** The memory of one service. */
-export class WarmthMemory {
-  private readonly usesByKey = new Map<string, Map<string, Instant>>()
+export class CacheAffinity {
+  private readonly lastUsesByKey = new Map<string, Map<string, Instant>>()
 
   /**
    * @param key the object
@@ -20,15 +20,15 @@
    * @param now the present
    */
   record (key: string, workerId: string, now: Instant): void {
-    let uses = this.usesByKey.get(key)
-    if (uses === undefined) {
-      uses = new Map()
-      this.usesByKey.set(key, uses)
-      if (this.usesByKey.size > MOST_OBJECTS) this.usesByKey.delete(this.usesByKey.keys().next().value as string)
+    let lastUses = this.lastUsesByKey.get(key)
+    if (lastUses === undefined) {
+      lastUses = new Map()
+      this.lastUsesByKey.set(key, lastUses)
+      if (this.lastUsesByKey.size > MAX_OBJECTS) this.lastUsesByKey.delete(this.lastUsesByKey.keys().next().value as string)
     }
-    uses.set(workerId, now)
-    for (const [id, at] of uses) {
-      if (now - at > KEPT_MS) uses.delete(id)
+    lastUses.set(workerId, now)
+    for (const [id, at] of lastUses) {
+      if (now - at > CACHED_SPAN_MS) lastUses.delete(id)
     }
   }
 
@@ -39,12 +39,12 @@
    * @returns whether the worker is believed to have the object at hand
    */
   has (key: string, workerId: string, now: Instant): boolean {
-    const at = this.usesByKey.get(key)?.get(workerId)
-    return at !== undefined && now - at <= KEPT_MS
+    const at = this.lastUsesByKey.get(key)?.get(workerId)
+    return at !== undefined && now - at <= CACHED_SPAN_MS
   }
 
   /** @param workerId a worker that has left, or lost what it kept */
   removeWorker (workerId: string): void {
-    for (const uses of this.usesByKey.values()) uses.delete(workerId)
+    for (const lastUses of this.lastUsesByKey.values()) lastUses.delete(workerId)
   }
 }
--- a/packages/steering/src/common/entry/chooseEntries.ts
+++ b/packages/steering/src/common/entry/chooseEntries.ts
@@ -7,24 +7,24 @@
 import type { EntryNode } from './records.js'
 
 /** Callers use this many names at most. */
-const MOST_NAMES = 64
+const MAX_ADDRESSES = 64
 
 /** Where callers are. */
-export interface CallerPlace {
+export interface CallerLocation {
   readonly region: string
   readonly domain: string
 }
 
 /**
  * @param nodes the entry VMs that serve
- * @param place where the callers are
- * @param regionOf all failure domains with their regions
+ * @param location where the callers are
+ * @param regionByDomain all failure domains with their regions
  * @returns addresses, the nearest VMs only
  */
-export function chooseEntries (nodes: Iterable<EntryNode>, place: CallerPlace, regionOf: ReadonlyMap<string, string>): string[] {
+export function chooseEntries (nodes: Iterable<EntryNode>, location: CallerLocation, regionByDomain: ReadonlyMap<string, string>): string[] {
   const all = [...nodes].sort((left, right) => (left.name < right.name ? -1 : 1))
-  const sameDomain = all.filter(({ domain }) => domain === place.domain)
-  const sameRegion = all.filter(({ domain }) => regionOf.get(domain) === place.region)
+  const sameDomain = all.filter(({ domain }) => domain === location.domain)
+  const sameRegion = all.filter(({ domain }) => regionByDomain.get(domain) === location.region)
   const nearest = [sameDomain, sameRegion, all].find((list) => list.length > 0) ?? []
-  return nearest.slice(0, MOST_NAMES).map(({ address }) => address)
+  return nearest.slice(0, MAX_ADDRESSES).map(({ address }) => address)
 }
--- a/packages/steering/src/common/entry/coldAllowance.ts
+++ b/packages/steering/src/common/entry/coldAllowance.ts
@@ -7,13 +7,13 @@
 import { rankByRendezvous } from '../lookup/rendezvous.js'
 
 /** A cold worker's requests are counted over any span of this length. */
-export const COLD_SPAN_MS = 1_000
+export const COLD_WINDOW_MS = 1_000
 /**
  * The part of what a cold worker bears that is given out. The rest covers entry
  * VMs that know of another number of VMs for the moment, and requests that are on
  * their way for unequal times.
  */
-const GIVEN_PART = 0.7
+const ALLOTTED_RATIO = 0.7
 
 /** What operators tolerate beyond a cold worker's own figure. */
 export interface ColdTolerance {
@@ -32,8 +32,8 @@
  * @returns the requests that this VM may send in any second
  */
 export function computeColdAllowance (perSecond: number, tolerance: ColdTolerance, workerId: string, nodes: readonly string[], node: string): number {
-  const whole = Math.floor((perSecond * tolerance.factor + tolerance.slack) * GIVEN_PART)
-  const each = Math.floor(whole / Math.max(1, nodes.length))
-  if (each >= 1) return each
-  return rankByRendezvous(workerId, nodes).slice(0, whole).includes(node) ? 1 : 0
+  const total = Math.floor((perSecond * tolerance.factor + tolerance.slack) * ALLOTTED_RATIO)
+  const perNode = Math.floor(total / Math.max(1, nodes.length))
+  if (perNode >= 1) return perNode
+  return rankByRendezvous(workerId, nodes).slice(0, total).includes(node) ? 1 : 0
 }
--- a/packages/steering/src/common/entry/decideAccess.ts
+++ b/packages/steering/src/common/entry/decideAccess.ts
@@ -21,7 +21,7 @@
 }
 
 /** What is decided by. */
-export interface AccessCase {
+export interface AccessRequest {
   /** Undefined where callers need no keys. */
   readonly accounts: AccountTable | undefined
   readonly route: RoutePolicy
@@ -52,7 +52,7 @@
  * @param bounds how old the proof of the records may be
  * @returns whether the request may run, and for which account
  */
-export function decideAccess (request: AccessCase, bounds: AccessBounds): Access {
+export function decideAccess (request: AccessRequest, bounds: AccessBounds): Access {
   const { accounts, route, keyDigest, proofAgeMs } = request
   const account = keyDigest === undefined ? undefined : accounts?.findByDigest(keyDigest)
   const hasHomes = route.homeRegions.length > 0 || (account !== undefined && account.homeRegions.length > 0)
@@ -60,9 +60,9 @@
   return accounts === undefined ? { end: AccessEnd.Allowed } : decideKey(request, account, bounds)
 }
 
-function decideKey ({ route, proofAgeMs }: AccessCase, account: AccountPolicy | undefined, { runWithinMs, denyWithinMs }: AccessBounds): Access {
-  const mayRun = proofAgeMs <= runWithinMs
+function decideKey ({ route, proofAgeMs }: AccessRequest, account: AccountPolicy | undefined, { runWithinMs: maxAgeToRunMs, denyWithinMs: maxAgeToDenyMs }: AccessBounds): Access {
+  const mayRun = proofAgeMs <= maxAgeToRunMs
   if (route.isOpen) return { end: AccessEnd.Allowed, account: mayRun ? account : undefined }
   if (account !== undefined) return mayRun ? { end: AccessEnd.Allowed, account } : { end: AccessEnd.RecordsStale }
-  return { end: proofAgeMs <= denyWithinMs ? AccessEnd.KeyUnknown : AccessEnd.RecordsStale }
+  return { end: proofAgeMs <= maxAgeToDenyMs ? AccessEnd.KeyUnknown : AccessEnd.RecordsStale }
 }
--- a/packages/steering/src/common/entry/documentParts.ts
+++ b/packages/steering/src/common/entry/documentParts.ts
@@ -11,8 +11,8 @@
 import type { AccountPolicy, ClientLimits, RoutePolicy, ServicePolicy, SteeringDocument } from './steeringDocument.js'
 
 /** Removed parts that are remembered; a VM that may not have heard of a forgotten one is told everything. */
-const MOST_REMOVALS = 8_192
-const HEXADECIMAL = 16
+const MAX_TOMBSTONES = 8_192
+const HEXADECIMAL_RADIX = 16
 
 /** What a part is of. */
 export enum PartKind {
@@ -24,14 +24,14 @@
 type PartValue = RoutePolicy | ServicePolicy | AccountPolicy
 
 /** Names by kind; parts of one name replace each other. */
-const PART_NAMES: Readonly<Record<PartKind, (value: never) => string>> = {
+const GET_PART_NAME: Readonly<Record<PartKind, (value: never) => string>> = {
   [PartKind.Route]: ({ host, prefix }: RoutePolicy) => `${host} ${prefix}`,
   [PartKind.Service]: ({ name }: ServicePolicy) => name,
   [PartKind.Account]: ({ name }: AccountPolicy) => name
 }
 
 /** What a VM that knows an earlier configuration is told of a later one. */
-export interface DocumentChange {
+export interface DocumentDelta {
   /** Where the configuration lies in the store. */
   readonly key: string
   /** The store's revision of this configuration. */
@@ -49,7 +49,7 @@
 }
 
 /** What stands beside the parts. */
-interface Frame {
+interface DocumentHeader {
   readonly version: number
   readonly limits: ClientLimits
   readonly hasAccounts: boolean
@@ -66,7 +66,7 @@
   readonly revision: number
 }
 
-interface RemovedPart {
+interface PartTombstone {
   readonly kind: PartKind
   readonly name: string
   readonly revision: number
@@ -76,16 +76,16 @@
   return BigInt(`0x${computeHash64(text)}`)
 }
 
-function readName (kind: PartKind, value: PartValue): string {
-  return PART_NAMES[kind](value as never)
+function getPartName (kind: PartKind, value: PartValue): string {
+  return GET_PART_NAME[kind](value as never)
 }
 
 function createPart (kind: PartKind, value: PartValue, revision: number): Part {
   const text = JSON.stringify(value)
-  return { kind, name: readName(kind, value), value, text, hash: computeHash(`${kind} ${text}`), revision }
+  return { kind, name: getPartName(kind, value), value, text, hash: computeHash(`${kind} ${text}`), revision }
 }
 
-function createId ({ kind, name }: { readonly kind: PartKind, readonly name: string }): string {
+function createPartId ({ kind, name }: { readonly kind: PartKind, readonly name: string }): string {
   return `${kind} ${name}`
 }
 
@@ -97,15 +97,15 @@
   ]
 }
 
-function toFrame ({ version, limits, accounts }: SteeringDocument): Frame {
+function toHeader ({ version, limits, accounts }: SteeringDocument): DocumentHeader {
   return { version, limits, hasAccounts: accounts !== undefined }
 }
 
 /** The same whatever the order of the parts, since VMs put them together in different ones. */
-function computeDigest ({ version, limits, hasAccounts }: Frame, parts: Iterable<Part>): string {
+function computeDigest ({ version, limits, hasAccounts }: DocumentHeader, parts: Iterable<Part>): string {
   let sum = computeHash(JSON.stringify([version, limits, hasAccounts]))
   for (const { hash } of parts) sum ^= hash
-  return sum.toString(HEXADECIMAL)
+  return sum.toString(HEXADECIMAL_RADIX)
 }
 
 function splitByKind<T, U> (items: Iterable<T>, getKind: (item: T) => PartKind, toItem: (item: T) => U): Record<PartKind, U[]> {
@@ -117,9 +117,9 @@
 /** The newest configuration that one VM knows, in parts. */
 export class DocumentParts {
   private parts = new Map<string, Part>()
-  private readonly removals = new Map<string, RemovedPart>()
+  private readonly tombstones = new Map<string, PartTombstone>()
   /** Removals up to this revision may have been forgotten. */
-  private forgottenRevision = 0
+  private discardedRevision = 0
 
   /**
    * Takes over a configuration that was read whole.
@@ -129,14 +129,14 @@
   putDocument (document: SteeringDocument, revision: number): void {
     const parts = new Map<string, Part>()
     for (const { kind, value } of listValues(document)) {
-      const id = createId({ kind, name: readName(kind, value) })
+      const id = createPartId({ kind, name: getPartName(kind, value) })
       const known = this.parts.get(id)
       const isKnown = known !== undefined && (known.value === value || known.text === JSON.stringify(value))
       parts.set(id, isKnown ? known : createPart(kind, value, revision))
-      this.removals.delete(id)
+      this.tombstones.delete(id)
     }
     for (const [id, { kind, name }] of this.parts) {
-      if (!parts.has(id)) this.recordRemoval({ kind, name, revision })
+      if (!parts.has(id)) this.recordTombstone({ kind, name, revision })
     }
     this.parts = parts
   }
@@ -145,13 +145,13 @@
    * @param change what another VM tells
    * @returns the configuration that it leads to; undefined if what is known here is not what it was told for
    */
-  mergeChange ({ version, limits, hasAccounts, written, removed, revision, digest }: DocumentChange): SteeringDocument | undefined {
+  mergeDelta ({ version, limits, hasAccounts, written, removed, revision, digest }: DocumentDelta): SteeringDocument | undefined {
     const parts = new Map(this.parts)
     for (const kind of Object.values(PartKind)) {
-      for (const name of removed[kind]) parts.delete(createId({ kind, name }))
+      for (const name of removed[kind]) parts.delete(createPartId({ kind, name }))
       for (const value of written[kind]) {
         const part = createPart(kind, value, revision)
-        parts.set(createId(part), part)
+        parts.set(createPartId(part), part)
       }
     }
     if (computeDigest({ version, limits, hasAccounts }, parts.values()) !== digest) return undefined
@@ -170,42 +170,42 @@
    * it may have changed and changed back since a VM that learns from this one heard of it.
    * @param change from which the configuration that was put last was put together
    */
-  markChanged ({ revision, written, removed }: DocumentChange): void {
+  markChanged ({ revision, written, removed }: DocumentDelta): void {
     for (const kind of Object.values(PartKind)) {
-      for (const name of removed[kind]) this.recordRemoval({ kind, name, revision })
+      for (const name of removed[kind]) this.recordTombstone({ kind, name, revision })
       for (const value of written[kind]) {
         const part = createPart(kind, value, revision)
-        this.parts.set(createId(part), part)
+        this.parts.set(createPartId(part), part)
       }
     }
   }
 
   /**
    * @param document the newest configuration, the one that was put last
-   * @param place where it lies in the store, and at which revision
-   * @param known the revision that the VM which is told knows
+   * @param location where it lies in the store, and at which revision
+   * @param knownRevision the revision that the VM which is told knows
    * @returns what changed after that; undefined if it has to be told everything
    */
-  readChangeAfter (document: SteeringDocument, place: { readonly key: string, readonly revision: number }, known: number): DocumentChange | undefined {
-    if (known < this.forgottenRevision) return undefined
-    const frame = toFrame(document)
+  buildDeltaAfter (document: SteeringDocument, location: { readonly key: string, readonly revision: number }, knownRevision: number): DocumentDelta | undefined {
+    if (knownRevision < this.discardedRevision) return undefined
+    const header = toHeader(document)
     return {
-      ...frame,
-      key: place.key,
-      revision: place.revision,
-      written: splitByKind([...this.parts.values()].filter(({ revision }) => revision > known), ({ kind }) => kind, ({ value }) => value),
-      removed: splitByKind([...this.removals.values()].filter(({ revision }) => revision > known), ({ kind }) => kind, ({ name }) => name),
-      digest: computeDigest(frame, this.parts.values())
+      ...header,
+      key: location.key,
+      revision: location.revision,
+      written: splitByKind([...this.parts.values()].filter(({ revision }) => revision > knownRevision), ({ kind }) => kind, ({ value }) => value),
+      removed: splitByKind([...this.tombstones.values()].filter(({ revision }) => revision > knownRevision), ({ kind }) => kind, ({ name }) => name),
+      digest: computeDigest(header, this.parts.values())
     }
   }
 
-  private recordRemoval (removal: RemovedPart): void {
-    const id = createId(removal)
-    this.removals.delete(id)
-    this.removals.set(id, removal)
-    if (this.removals.size <= MOST_REMOVALS) return
-    const [oldestId, oldest] = this.removals.entries().next().value!
-    this.removals.delete(oldestId)
-    this.forgottenRevision = Math.max(this.forgottenRevision, oldest.revision)
+  private recordTombstone (tombstone: PartTombstone): void {
+    const id = createPartId(tombstone)
+    this.tombstones.delete(id)
+    this.tombstones.set(id, tombstone)
+    if (this.tombstones.size <= MAX_TOMBSTONES) return
+    const [oldestId, oldest] = this.tombstones.entries().next().value!
+    this.tombstones.delete(oldestId)
+    this.discardedRevision = Math.max(this.discardedRevision, oldest.revision)
   }
 }
--- a/packages/steering/src/common/entry/domainDistances.ts
+++ b/packages/steering/src/common/entry/domainDistances.ts
@@ -3,33 +3,33 @@
  * connections take to open. The least of the latest openings counts: a busy worker
  * or a lost packet makes one opening slow, never fast.
  */
-import { classifyNearness, Nearness } from './nearness.js'
+import { classifyProximity, Proximity } from './proximity.js'
 
 /** Before any connection was opened, in milliseconds there and back. */
-const ASSUMED_MS: Readonly<Record<Nearness, number>> = {
-  [Nearness.SameDomain]: 1,
-  [Nearness.SameRegion]: 2,
-  [Nearness.OtherRegion]: 60
+const INITIAL_ROUND_TRIP_MS: Readonly<Record<Proximity, number>> = {
+  [Proximity.SameDomain]: 1,
+  [Proximity.SameRegion]: 2,
+  [Proximity.OtherRegion]: 60
 }
 /** How much a slower opening lifts what is known; a route that became longer is known after some dozen. */
-const RISE_GAIN = 0.05
+const RISE_SMOOTHING_FACTOR = 0.05
 
 /** Distances by failure domain. */
 export class DomainDistances {
-  private readonly distanceByDomain = new Map<string, number>()
+  private readonly roundTripMsByDomain = new Map<string, number>()
 
   /**
    * @param domain this VM's failure domain
-   * @param regionOf all failure domains with their regions
+   * @param regionByDomain all failure domains with their regions
    */
-  constructor (private readonly domain: string, private readonly regionOf: ReadonlyMap<string, string>) {}
+  constructor (private readonly domain: string, private readonly regionByDomain: ReadonlyMap<string, string>) {}
 
   /**
    * @param other a failure domain
    * @returns how near it is
    */
-  getNearness (other: string): Nearness {
-    return classifyNearness(this.domain, other, this.regionOf)
+  getProximity (other: string): Proximity {
+    return classifyProximity(this.domain, other, this.regionByDomain)
   }
 
   /**
@@ -37,16 +37,16 @@
    * @returns the way there and back, in milliseconds
    */
   getRoundTrip (other: string): number {
-    return this.distanceByDomain.get(other) ?? ASSUMED_MS[this.getNearness(other)]
+    return this.roundTripMsByDomain.get(other) ?? INITIAL_ROUND_TRIP_MS[this.getProximity(other)]
   }
 
   /**
    * @param other the failure domain of a worker
-   * @param openMs how long a new connection to it took
+   * @param connectMs how long a new connection to it took
    */
-  record (other: string, openMs: number): void {
-    const known = this.distanceByDomain.get(other)
-    const updated = known === undefined || openMs < known ? openMs : known + RISE_GAIN * (openMs - known)
-    this.distanceByDomain.set(other, updated)
+  record (other: string, connectMs: number): void {
+    const previousMs = this.roundTripMsByDomain.get(other)
+    const updatedMs = previousMs === undefined || connectMs < previousMs ? connectMs : previousMs + RISE_SMOOTHING_FACTOR * (connectMs - previousMs)
+    this.roundTripMsByDomain.set(other, updatedMs)
   }
 }
--- a/packages/steering/src/common/entry/entryView.ts
+++ b/packages/steering/src/common/entry/entryView.ts
@@ -7,17 +7,17 @@
 import { createDeadline } from '@umberspar/base/common/deadline'
 import { applyRecord } from './applyRecord.js'
 import { AccountTable } from './accountTable.js'
-import { PartChooser } from './partChooser.js'
+import { WeightedRoundRobin } from './weightedRoundRobin.js'
 import type { EntryNode, RecordChange, ShareKeeper, UpstreamEntry } from './records.js'
 import type { CrashReports, Quarantine } from '../quarantine/crashReport.js'
-import { RepeatWindow, type RepeatBudget } from './repeatWindow.js'
+import { RetryBudget, type RetryBudgetSettings } from './retryBudget.js'
 import type { SendingNode } from '../rateLimits/rateAllowance.js'
 import { RouteTable } from './routeTable.js'
-import { type RosterPlace, ServiceRoster } from './serviceRoster.js'
+import { type PoolContext, WorkerPool } from './workerPool.js'
 import type { RoutePolicy, ServicePolicy, SteeringDocument } from './steeringDocument.js'
 import { UpstreamTracker } from './upstreamTracker.js'
 import { type UpstreamChange, ViewChange, type ViewEvent } from './viewEvent.js'
-import { WorkEstimate } from './workEstimate.js'
+import { ServiceTimeEstimate } from './serviceTimeEstimate.js'
 
 /** A share's keeper, and the revision of its claim. */
 export interface ShareClaim {
@@ -26,47 +26,47 @@
 }
 
 /** A record's value, with what it takes to replace or remove the record. */
-export interface Stored<T> {
+export interface StoredValue<T> {
   readonly key: string
   readonly revision: number
   readonly value: T
 }
 
 /** What does not change while the process lives. */
-export interface ViewPlace extends Omit<RosterPlace, 'listNodes' | 'listSendingNodes'> {
-  readonly budget: RepeatBudget
+export interface ViewContext extends Omit<PoolContext, 'listNodes' | 'listSendingNodes'> {
+  readonly budget: RetryBudgetSettings
 }
 
 /** The view of one entry VM. */
 export class EntryView {
-  readonly rosters = new Map<string, ServiceRoster>()
+  readonly pools = new Map<string, WorkerPool>()
   readonly nodes = new Map<string, EntryNode>()
   readonly evacuated = new Set<string>()
   /** Who keeps which share of the quotas, by the share's name. */
   readonly shares = new Map<string, ShareClaim>()
   /** What entry VMs report of crashes, by their names. */
-  readonly crashReports = new Map<string, Stored<CrashReports>>()
+  readonly crashReports = new Map<string, StoredValue<CrashReports>>()
   /** By the request's digest. */
-  readonly quarantines = new Map<string, Stored<Quarantine>>()
+  readonly quarantines = new Map<string, StoredValue<Quarantine>>()
   private readonly trackers = new Map<string, UpstreamTracker>()
-  private readonly repeatWindows = new Map<string, RepeatWindow>()
-  private readonly workByRoute = new Map<string, WorkEstimate>()
+  private readonly retryBudgets = new Map<string, RetryBudget>()
+  private readonly serviceTimesByRoute = new Map<string, ServiceTimeEstimate>()
   /** Sorted; undefined after a change, so that a start with hundreds of VMs sorts them once. */
   private nodeNames: readonly string[] | undefined
   /** The same with their failure domains. */
   private sendingNodes: readonly SendingNode[] | undefined
-  private current: SteeringDocument | undefined
-  private table: RouteTable | undefined
+  private currentDocument: SteeringDocument | undefined
+  private routeTable: RouteTable | undefined
   private accountTable: AccountTable | undefined
-  private policies: ReadonlyMap<string, ServicePolicy> = new Map()
-  parts = new PartChooser()
+  private policiesByService: ReadonlyMap<string, ServicePolicy> = new Map()
+  parts = new WeightedRoundRobin()
 
-  /** @param place where this VM is and what it was set to */
-  constructor (private readonly place: ViewPlace) {}
+  /** @param context where this VM is and what it was set to */
+  constructor (private readonly context: ViewContext) {}
 
   /** @returns the configuration in force; undefined before one was read */
   get document (): SteeringDocument | undefined {
-    return this.current
+    return this.currentDocument
   }
 
   /** @returns the client accounts; undefined where callers need no keys */
@@ -90,39 +90,39 @@
    * @returns its route, if there is one
    */
   findRoute (host: string, target: string): RoutePolicy | undefined {
-    return this.table?.find(host, target)
+    return this.routeTable?.find(host, target)
   }
 
   /**
    * @param service a service
    * @returns its workers
    */
-  readRoster (service: string): ServiceRoster {
-    let roster = this.rosters.get(service)
-    if (roster === undefined) {
-      roster = new ServiceRoster({ ...this.place, listNodes: () => this.listNodeNames(), listSendingNodes: () => this.listSendingNodes() })
-      roster.policy = this.policies.get(service)
-      this.rosters.set(service, roster)
+  readRoster (service: string): WorkerPool {
+    let pool = this.pools.get(service)
+    if (pool === undefined) {
+      pool = new WorkerPool({ ...this.context, listNodes: () => this.listNodeNames(), listSendingNodes: () => this.listSendingNodes() })
+      pool.policy = this.policiesByService.get(service)
+      this.pools.set(service, pool)
     }
-    return roster
+    return pool
   }
 
   /**
    * @param service a service
    * @returns the repeats that may be sent for it
    */
-  readRepeats (service: string): RepeatWindow {
-    let window = this.repeatWindows.get(service)
-    if (window === undefined) {
-      window = new RepeatWindow(this.place.budget, () => this.countNodes())
-      this.repeatWindows.set(service, window)
+  readRepeats (service: string): RetryBudget {
+    let retryBudget = this.retryBudgets.get(service)
+    if (retryBudget === undefined) {
+      retryBudget = new RetryBudget(this.context.budget, () => this.countNodes())
+      this.retryBudgets.set(service, retryBudget)
     }
-    return window
+    return retryBudget
   }
 
   /** @returns the repeats of each service that had requests */
-  listRepeats (): Iterable<readonly [string, RepeatWindow]> {
-    return this.repeatWindows
+  listRepeats (): Iterable<readonly [string, RetryBudget]> {
+    return this.retryBudgets
   }
 
   /**
@@ -130,14 +130,14 @@
    * @param service the service that the request goes to
    * @returns how long its requests take there
    */
-  readWork (route: RoutePolicy, service: string): WorkEstimate {
+  readWork (route: RoutePolicy, service: string): ServiceTimeEstimate {
     const name = `${route.name} ${service}`
-    let work = this.workByRoute.get(name)
-    if (work === undefined) {
-      work = new WorkEstimate(route)
-      this.workByRoute.set(name, work)
+    let serviceTimes = this.serviceTimesByRoute.get(name)
+    if (serviceTimes === undefined) {
+      serviceTimes = new ServiceTimeEstimate(route)
+      this.serviceTimesByRoute.set(name, serviceTimes)
     }
-    return work
+    return serviceTimes
   }
 
   /**
@@ -152,30 +152,30 @@
 
   /** @param document the configuration that is in force from now on */
   setDocument (document: SteeringDocument): void {
-    this.current = document
-    this.table = new RouteTable(document)
+    this.currentDocument = document
+    this.routeTable = new RouteTable(document)
     this.accountTable = document.accounts === undefined ? undefined : new AccountTable(document.accounts)
-    this.parts = new PartChooser()
-    this.policies = new Map(document.services.map((policy) => [policy.name, policy]))
-    for (const [service, roster] of this.rosters) roster.policy = this.policies.get(service)
+    this.parts = new WeightedRoundRobin()
+    this.policiesByService = new Map(document.services.map((policy) => [policy.name, policy]))
+    for (const [service, pool] of this.pools) pool.policy = this.policiesByService.get(service)
   }
 
   /**
-   * @param entry a worker's registration
+   * @param registration a worker's registration
    * @param now the present
    * @returns what it changes; undefined if it is of an earlier life than the worker's present one
    */
-  putUpstream (entry: UpstreamEntry, now: Instant): UpstreamChange | undefined {
-    const known = this.trackers.get(entry.id)
-    if (known !== undefined && known.isFormerLife(entry)) return undefined
-    const isNewLife = known !== undefined && known.isOtherLife(entry)
-    if (known !== undefined && (isNewLife || known.entry.service !== entry.service)) this.removeUpstream(entry.id)
-    const tracker = this.trackers.get(entry.id) ?? new UpstreamTracker(entry, now, isNewLife ? known.listLives() : [])
-    tracker.update(entry, now)
-    this.trackers.set(entry.id, tracker)
-    this.readRoster(entry.service).put(tracker)
+  putUpstream (registration: UpstreamEntry, now: Instant): UpstreamChange | undefined {
+    const known = this.trackers.get(registration.id)
+    if (known !== undefined && known.isEarlierStart(registration)) return undefined
+    const isRestart = known !== undefined && known.isOtherStart(registration)
+    if (known !== undefined && (isRestart || known.entry.service !== registration.service)) this.removeUpstream(registration.id)
+    const tracker = this.trackers.get(registration.id) ?? new UpstreamTracker(registration, now, isRestart ? known.listStartTimes() : [])
+    tracker.update(registration, now)
+    this.trackers.set(registration.id, tracker)
+    this.readRoster(registration.service).put(tracker)
     if (known === undefined) return ViewChange.UpstreamJoined
-    return isNewLife ? ViewChange.UpstreamRestarted : ViewChange.UpstreamChanged
+    return isRestart ? ViewChange.UpstreamRestarted : ViewChange.UpstreamChanged
   }
 
   /** @param id a worker that is gone */
@@ -183,13 +183,13 @@
     const tracker = this.trackers.get(id)
     if (tracker === undefined) return
     this.trackers.delete(id)
-    this.rosters.get(tracker.entry.service)?.remove(id)
+    this.pools.get(tracker.entry.service)?.remove(id)
   }
 
   /** @param domain a failure domain that gets nothing from now on */
   putEvacuation (domain: string): void {
     this.evacuated.add(domain)
-    for (const roster of this.rosters.values()) roster.clearRankings()
+    for (const pool of this.pools.values()) pool.clearRankings()
   }
 
   /**
@@ -201,13 +201,13 @@
    */
   removeEvacuation (domain: string, now: Instant): void {
     this.evacuated.delete(domain)
-    for (const roster of this.rosters.values()) {
-      for (const tracker of roster.list()) {
+    for (const pool of this.pools.values()) {
+      for (const tracker of pool.listTrackers()) {
         if (tracker.entry.domain !== domain) continue
-        tracker.markCold(createDeadline(now, roster.policy?.coldMs ?? 0))
-        roster.warmth.removeWorker(tracker.entry.id)
+        tracker.markCold(createDeadline(now, pool.policy?.coldMs ?? 0))
+        pool.cacheAffinity.removeWorker(tracker.entry.id)
       }
-      roster.clearRankings()
+      pool.clearRankings()
     }
   }
 
@@ -226,12 +226,12 @@
   }
 
   private listNodeNames (): readonly string[] {
-    this.nodeNames ??= [...new Set([this.place.node, ...this.nodes.keys()])].sort()
+    this.nodeNames ??= [...new Set([this.context.node, ...this.nodes.keys()])].sort()
     return this.nodeNames
   }
 
   private listSendingNodes (): readonly SendingNode[] {
-    const { node, domain } = this.place
+    const { node, domain } = this.context
     this.sendingNodes ??= this.listNodeNames().map((name) => ({ name, domain: name === node ? domain : this.nodes.get(name)?.domain ?? '' }))
     return this.sendingNodes
   }
--- a/packages/steering/src/common/entry/followPlan.ts
+++ b/packages/steering/src/common/entry/followPlan.ts
@@ -21,9 +21,9 @@
 /** One may be paused or die; the other goes on. */
 const FOLLOWERS_PER_REGION = 2
 /** VMs that share their sources. */
-const GROUP = 2
+const PAIR_SIZE = 2
 /** Pairs that learn from one pair: each VM tells at most eight others of its domain, which reaches 42 VMs in three steps. */
-const PAIRS_PER_PAIR = 4
+const CHILD_PAIRS_PER_PAIR = 4
 
 /** What one VM is to do. */
 export interface FollowPlan {
@@ -41,25 +41,25 @@
   return rankByRendezvous(key, [...byName.keys()]).map((name) => byName.get(name)!)
 }
 
-function splitNodes (nodes: readonly EntryNode[], getPart: (node: EntryNode) => string): Map<string, EntryNode[]> {
-  const parts = new Map<string, EntryNode[]>()
+function splitNodes (nodes: readonly EntryNode[], getGroup: (node: EntryNode) => string): Map<string, EntryNode[]> {
+  const groups = new Map<string, EntryNode[]>()
   for (const node of nodes) {
-    const part = getPart(node)
-    const members = parts.get(part)
-    if (members === undefined) parts.set(part, [node])
+    const group = getGroup(node)
+    const members = groups.get(group)
+    if (members === undefined) groups.set(group, [node])
     else members.push(node)
   }
-  return parts
+  return groups
 }
 
 /** Links that differ by less than a factor of two count alike, so that the rank spreads the work. */
-function classifyLink ({ linkMbps = 1 }: EntryNode): number {
+function classifyLinkSpeed ({ linkMbps = 1 }: EntryNode): number {
   return Math.floor(Math.log2(linkMbps))
 }
 
 /** The VMs with the largest links first. */
 function rankByLink (key: string, nodes: readonly EntryNode[]): EntryNode[] {
-  return rankNodes(key, nodes).sort((left, right) => classifyLink(right) - classifyLink(left))
+  return rankNodes(key, nodes).sort((left, right) => classifyLinkSpeed(right) - classifyLinkSpeed(left))
 }
 
 /** The VMs of one failure domain in the order in which they hear. */
@@ -69,37 +69,37 @@
 
 /** The followers of one region: the first VM of each of two domains, or the first two of its only one. */
 function chooseFollowers (nodes: readonly EntryNode[]): EntryNode[] {
-  const ranked = [...splitNodes(nodes, ({ domain }) => domain)].map(([domain, members]) => rankMembers(domain, members))
-  if (ranked.length === 1) return ranked[0]!.slice(0, FOLLOWERS_PER_REGION)
-  const heads = ranked.map((members) => members[0]!)
-  return rankByLink('follow', heads).slice(0, FOLLOWERS_PER_REGION)
+  const rankedByDomain = [...splitNodes(nodes, ({ domain }) => domain)].map(([domain, members]) => rankMembers(domain, members))
+  if (rankedByDomain.length === 1) return rankedByDomain[0]!.slice(0, FOLLOWERS_PER_REGION)
+  const firstOfEachDomain = rankedByDomain.map((members) => members[0]!)
+  return rankByLink('follow', firstOfEachDomain).slice(0, FOLLOWERS_PER_REGION)
 }
 
 /** The pair above a VM within its domain; undefined for the first pair. */
-function findPairAbove (ranked: readonly EntryNode[], name: string): EntryNode[] | undefined {
-  const pair = Math.floor(ranked.findIndex((node) => node.name === name) / GROUP)
-  if (pair === 0) return undefined
-  const above = Math.floor((pair - 1) / PAIRS_PER_PAIR)
-  return ranked.slice(above * GROUP, (above + 1) * GROUP)
+function findParentPair (ranked: readonly EntryNode[], name: string): EntryNode[] | undefined {
+  const pairIndex = Math.floor(ranked.findIndex((node) => node.name === name) / PAIR_SIZE)
+  if (pairIndex === 0) return undefined
+  const parentIndex = Math.floor((pairIndex - 1) / CHILD_PAIRS_PER_PAIR)
+  return ranked.slice(parentIndex * PAIR_SIZE, (parentIndex + 1) * PAIR_SIZE)
 }
 
 /**
  * @param nodes the entry VMs known, this one included or not
  * @param self this VM
- * @param regionOf all failure domains with their regions
+ * @param regionByDomain all failure domains with their regions
  * @returns whether this VM watches the store, and whom it learns from otherwise
  */
-export function planFollowing (nodes: Iterable<EntryNode>, self: EntryNode, regionOf: RegionByDomain): FollowPlan {
-  const all = [...[...nodes].filter(({ name }) => name !== self.name), self]
-  const regions = splitNodes(all, ({ domain }) => regionOf.get(domain) ?? '')
-  const ownRegion = regionOf.get(self.domain) ?? ''
+export function planFollowing (nodes: Iterable<EntryNode>, self: EntryNode, regionByDomain: RegionByDomain): FollowPlan {
+  const allNodes = [...[...nodes].filter(({ name }) => name !== self.name), self]
+  const regions = splitNodes(allNodes, ({ domain }) => regionByDomain.get(domain) ?? '')
+  const ownRegion = regionByDomain.get(self.domain) ?? ''
   const followersByRegion = new Map([...regions].map(([region, members]) => [region, chooseFollowers(members)]))
   const followers = followersByRegion.get(ownRegion)!
-  const domainMembers = rankMembers(self.domain, all.filter(({ domain }) => domain === self.domain))
-  const first = findPairAbove(domainMembers, self.name) ?? followers
-  const elsewhere = [...followersByRegion].filter(([region]) => region !== ownRegion).flatMap(([, members]) => members)
+  const domainMembers = rankMembers(self.domain, allNodes.filter(({ domain }) => domain === self.domain))
+  const parents = findParentPair(domainMembers, self.name) ?? followers
+  const remoteFollowers = [...followersByRegion].filter(([region]) => region !== ownRegion).flatMap(([, members]) => members)
   // What remains is ranked anew for each VM, so that VMs that lost the same sources ask different ones.
-  const spare = rankNodes(`spare/${self.name}`, [...followers, ...domainMembers.slice(0, GROUP)])
-  const sources = [...first, ...spare, ...rankNodes(`spare/${self.name}`, elsewhere)].filter(({ name }) => name !== self.name)
+  const fallbacks = rankNodes(`spare/${self.name}`, [...followers, ...domainMembers.slice(0, PAIR_SIZE)])
+  const sources = [...parents, ...fallbacks, ...rankNodes(`spare/${self.name}`, remoteFollowers)].filter(({ name }) => name !== self.name)
   return { isFollower: followers.some(({ name }) => name === self.name), sources: [...new Set(sources)] }
 }
--- a/packages/steering/src/common/entry/handChance.ts
+++ b/packages/steering/src/common/entry/handChance.ts
@@ -22,12 +22,12 @@
 }
 
 /** How much the newest answer counts: some twenty answers make the estimate. */
-const GAIN = 0.05
+const SMOOTHING_FACTOR = 0.05
 /**
  * Before any answer. The first two places begin in the middle, so that they are
  * tried: a place that is never tried is never learned of.
  */
-const FIRST_CHANCES: Readonly<Record<HandState, number>> = {
+const INITIAL_PROBABILITIES: Readonly<Record<HandState, number>> = {
   [HandState.Remembered]: 0.95,
   [HandState.FirstRank]: 0.5,
   [HandState.SecondRank]: 0.4,
@@ -35,31 +35,31 @@
 }
 
 /**
- * @param isRemembered whether this VM's own request went there lately
+ * @param isRecentlyUsed whether this VM's own request went there lately
  * @param rank the worker's place in the object's ranking, 0 the first
  * @returns what is known of the object there
  */
-export function classifyHand (isRemembered: boolean, rank: number): HandState {
-  if (isRemembered) return HandState.Remembered
+export function classifyCacheState (isRecentlyUsed: boolean, rank: number): HandState {
+  if (isRecentlyUsed) return HandState.Remembered
   if (rank === 0) return HandState.FirstRank
   return rank === 1 ? HandState.SecondRank : HandState.LaterRank
 }
 
 /** The chances of one service. */
-export class HandChance {
-  private readonly chances = new Map<HandState, number>(Object.entries(FIRST_CHANCES) as Array<[HandState, number]>)
+export class CacheHitEstimator {
+  private readonly probabilities = new Map<HandState, number>(Object.entries(INITIAL_PROBABILITIES) as Array<[HandState, number]>)
 
   /** @returns the chance, 0 to 1 */
-  get (state: HandState): number {
-    return this.chances.get(state)!
+  getProbability (state: HandState): number {
+    return this.probabilities.get(state)!
   }
 
   /**
    * @param state what was known before
-   * @param wasAtHand what the answer's time shows
+   * @param wasCacheHit what the answer's time shows
    */
-  observe (state: HandState, wasAtHand: boolean): void {
-    const known = this.get(state)
-    this.chances.set(state, known + GAIN * (Number(wasAtHand) - known))
+  observe (state: HandState, wasCacheHit: boolean): void {
+    const known = this.getProbability(state)
+    this.probabilities.set(state, known + SMOOTHING_FACTOR * (Number(wasCacheHit) - known))
   }
 }
--- a/packages/steering/src/common/entry/heardClock.ts
+++ b/packages/steering/src/common/entry/heardClock.ts
@@ -10,15 +10,15 @@
 import { CLOCK_RATE_MARGIN } from '../limits/loans.js'
 
 /** A comparison that may be off by more is worth a new question, in milliseconds. */
-const MOST_DOUBT_MS = 300
+const MAX_UNCERTAINTY_MS = 300
 
 /** The clock of one VM, from one question on. */
 export class HeardClock {
-  private firstClockMs: number | undefined
-  private firstDoubtMs = 0
+  private firstReadingMs: number | undefined
+  private firstUncertaintyMs = 0
 
-  /** @param askedAt when the question was sent, on this VM's clock */
-  constructor (private readonly askedAt: Instant) {}
+  /** @param requestedAt when the question was sent, on this VM's clock */
+  constructor (private readonly requestedAt: Instant) {}
 
   /**
    * Takes over what the other VM's clock shows.
@@ -26,9 +26,9 @@
    * @param now when the line arrived
    */
   recordLine (clockMs: number, now: Instant): void {
-    if (this.firstClockMs !== undefined) return
-    this.firstClockMs = clockMs
-    this.firstDoubtMs = now - this.askedAt
+    if (this.firstReadingMs !== undefined) return
+    this.firstReadingMs = clockMs
+    this.firstUncertaintyMs = now - this.requestedAt
   }
 
   /**
@@ -36,9 +36,9 @@
    * @returns an instant on this VM's clock that lies no later; negative infinity before any line came
    */
   toOwnInstant (clockMs: number): Instant {
-    if (this.firstClockMs === undefined) return Number.NEGATIVE_INFINITY
-    const spanMs = clockMs - this.firstClockMs
-    return this.askedAt + spanMs - Math.abs(spanMs) * CLOCK_RATE_MARGIN
+    if (this.firstReadingMs === undefined) return Number.NEGATIVE_INFINITY
+    const elapsedMs = clockMs - this.firstReadingMs
+    return this.requestedAt + elapsedMs - Math.abs(elapsedMs) * CLOCK_RATE_MARGIN
   }
 
   /**
@@ -46,6 +46,6 @@
    * @returns whether a new question would place the other VM's instants noticeably better
    */
   isDoubtful (now: Instant): boolean {
-    return this.firstDoubtMs + (now - this.askedAt) * CLOCK_RATE_MARGIN > MOST_DOUBT_MS
+    return this.firstUncertaintyMs + (now - this.requestedAt) * CLOCK_RATE_MARGIN > MAX_UNCERTAINTY_MS
   }
 }
--- a/packages/steering/src/common/entry/keyRanking.ts
+++ b/packages/steering/src/common/entry/keyRanking.ts
@@ -4,10 +4,10 @@
  * change of the worker list moves only the keys that it must.
  */
 import { computePairHash, PAIR_HASH_RANGE } from '../lookup/rendezvous.js'
-import type { Shares } from './placeShares.js'
+import type { WorkerShares } from './workerShares.js'
 
 /** Rankings kept; a service has far fewer objects in use at an entry VM, and an entry takes about 200 bytes. */
-const MOST_KEPT = 20_000
+const MAX_CACHED_KEYS = 20_000
 
 interface RankedWorker {
   readonly id: string
@@ -19,17 +19,17 @@
   private readonly ranksByKey = new Map<string, readonly string[]>()
 
   /** @param shares each worker's part */
-  constructor (private readonly shares: Shares) {}
+  constructor (private readonly shares: WorkerShares) {}
 
   /**
    * @param key what identifies the object
    * @returns workers' ids, the first choice first
    */
   rank (key: string): readonly string[] {
-    const kept = this.ranksByKey.get(key)
-    if (kept !== undefined) return kept
+    const cached = this.ranksByKey.get(key)
+    if (cached !== undefined) return cached
     const ranks = this.computeRanks(key)
-    if (this.ranksByKey.size >= MOST_KEPT) this.ranksByKey.clear()
+    if (this.ranksByKey.size >= MAX_CACHED_KEYS) this.ranksByKey.clear()
     this.ranksByKey.set(key, ranks)
     return ranks
   }
@@ -38,8 +38,8 @@
     const ranked: RankedWorker[] = []
     for (const [id, share] of this.shares) {
       // With the half added a hash never gives 0 or 1.
-      const draw = (computePairHash(key, id) + 0.5) / PAIR_HASH_RANGE
-      ranked.push({ id, score: -Math.log(draw) / share })
+      const uniformSample = (computePairHash(key, id) + 0.5) / PAIR_HASH_RANGE
+      ranked.push({ id, score: -Math.log(uniformSample) / share })
     }
     ranked.sort((left, right) => left.score - right.score || (left.id < right.id ? -1 : 1))
     return ranked.map(({ id }) => id)
--- a/packages/steering/src/common/entry/offerAgain.ts
+++ b/packages/steering/src/common/entry/offerAgain.ts
@@ -5,15 +5,15 @@
  * answers. Each further offer draws on a budget that all entry VMs share, and may
  * run the request once more.
  */
-import { isRepeatable, type RoutePolicy } from './steeringDocument.js'
+import { isRetryable, type RoutePolicy } from './steeringDocument.js'
 
 /** Offers that could not be sent are made anew this often; each costs an opening time. */
-const MOST_UNSENT = 3
+const MAX_UNSENT_ATTEMPTS = 3
 /** Offers beyond the route's attempts that workers may refuse: such a refusal is no run. */
-const MOST_REFUSED = 2
+const MAX_EXTRA_REJECTIONS = 2
 
 /** What has been done for a request so far. */
-export interface OfferCounts {
+export interface AttemptCounts {
   /** Offers that were sent to a worker. */
   readonly sent: number
   /** Offers that could not be sent. */
@@ -21,16 +21,16 @@
 }
 
 /** @returns whether a request is offered again after an offer that could not be sent */
-export function mayOfferAfterUnsent ({ unsent }: OfferCounts): boolean {
-  return unsent <= MOST_UNSENT
+export function mayOfferAfterUnsent ({ unsent }: AttemptCounts): boolean {
+  return unsent <= MAX_UNSENT_ATTEMPTS
 }
 
 /** @returns whether a request is offered again after a worker that did not run it */
-export function mayOfferAfterRefusal ({ attempts }: RoutePolicy, { sent }: OfferCounts): boolean {
-  return sent < attempts + MOST_REFUSED - 1
+export function mayOfferAfterRefusal ({ attempts }: RoutePolicy, { sent }: AttemptCounts): boolean {
+  return sent < attempts + MAX_EXTRA_REJECTIONS - 1
 }
 
 /** @returns whether a request is offered again after an offer that may have run it */
-export function mayOfferAfterRun ({ kind, attempts }: RoutePolicy, { sent }: OfferCounts): boolean {
-  return isRepeatable(kind) && sent < attempts
+export function mayOfferAfterRun ({ kind, attempts }: RoutePolicy, { sent }: AttemptCounts): boolean {
+  return isRetryable(kind) && sent < attempts
 }
--- a/packages/steering/src/common/entry/offerLesson.ts
+++ b/packages/steering/src/common/entry/offerLesson.ts
@@ -1,11 +1,11 @@
 /** What an entry VM learns from a worker's answer: how long work takes, how fast the worker is, what it has at hand. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { Choice } from './chooseUpstream.js'
-import type { ServiceRoster } from './serviceRoster.js'
-import type { WorkEstimate } from './workEstimate.js'
+import type { WorkerPool } from './workerPool.js'
+import type { ServiceTimeEstimate } from './serviceTimeEstimate.js'
 
 /** One answer. */
-export interface OfferLesson {
+export interface AnswerObservation {
   readonly choice: Choice
   /** The request's object; undefined if workers handle all alike. */
   readonly key: string | undefined
@@ -20,17 +20,17 @@
 /**
  * Takes over what an answer shows.
  * @param lesson the answer
- * @param roster of the worker's service
- * @param work of the request's route at that service
+ * @param pool of the worker's service
+ * @param serviceTimes of the request's route at that service
  */
-export function observeAnswer ({ choice, key, tookMs, bytes, now }: OfferLesson, roster: ServiceRoster, work: WorkEstimate): void {
-  const { tracker, hand, roundTripMs } = choice.candidate
-  const beforeMs = choice.waitMs + roundTripMs
-  const wasAtHand = key !== undefined && work.isWarmWork(tookMs - beforeMs)
+export function observeAnswer ({ choice, key, tookMs, bytes, now }: AnswerObservation, pool: WorkerPool, serviceTimes: ServiceTimeEstimate): void {
+  const { tracker, hand: cacheState, roundTripMs } = choice.candidate
+  const delayBeforeServiceMs = choice.waitMs + roundTripMs
+  const wasCacheHit = key !== undefined && serviceTimes.isCacheHit(tookMs - delayBeforeServiceMs)
   // Against what this kind of work takes: a worker is not slow for having worked on an object anew.
-  tracker.recordSpeed(tookMs / Math.max(1, beforeMs + work.getWork(wasAtHand)), now)
-  work.observe(wasAtHand, tookMs - beforeMs, bytes)
+  tracker.recordLatencyRatio(tookMs / Math.max(1, delayBeforeServiceMs + serviceTimes.getServiceTimeMs(wasCacheHit)), now)
+  serviceTimes.observe(wasCacheHit, tookMs - delayBeforeServiceMs, bytes)
   if (key === undefined) return
-  roster.hands.observe(hand, wasAtHand)
-  roster.warmth.record(key, tracker.entry.id, now)
+  pool.cacheHits.observe(cacheState, wasCacheHit)
+  pool.cacheAffinity.record(key, tracker.entry.id, now)
 }
--- a/packages/steering/src/common/entry/recordNews.ts
+++ b/packages/steering/src/common/entry/recordNews.ts
@@ -1,5 +1,5 @@
 /** What entry VMs tell each other of the records. */
-import type { DocumentChange } from './documentParts.js'
+import type { DocumentDelta } from './documentParts.js'
 import type { RecordChanges } from './records.js'
 
 /** All was known up to one revision, and again as of a later one. */
@@ -15,5 +15,5 @@
   /** If it is not everything: revisions between which the teller does not know what came and went. */
   readonly gaps: readonly RevisionGap[]
   /** If it is not everything: what changed of the configuration, which stands in `written` otherwise. */
-  readonly document?: DocumentChange | undefined
+  readonly document?: DocumentDelta | undefined
 }
--- a/packages/steering/src/common/entry/recordProof.ts
+++ b/packages/steering/src/common/entry/recordProof.ts
@@ -10,7 +10,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 
 /** Questions whose changes have not come yet; each waits for less than a second as a rule. */
-const MOST_PENDING = 16
+const MAX_PENDING_READINGS = 16
 
 /** The store's revision, as told on a question. */
 export interface RevisionReading {
@@ -22,12 +22,12 @@
 
 /** The proof of one VM; all instants are of a clock that counts suspensions. */
 export class RecordProof {
-  private at: Instant = Number.NEGATIVE_INFINITY
-  private pending: RevisionReading[] = []
+  private latestProvenAt: Instant = Number.NEGATIVE_INFINITY
+  private pendingReadings: RevisionReading[] = []
 
   /** @returns an instant at which the records were the newest; negative infinity if none is known */
   get provenAt (): Instant {
-    return this.at
+    return this.latestProvenAt
   }
 
   /**
@@ -36,22 +36,22 @@
    * @param knownRevision up to which changes are known
    */
   recordReading (reading: RevisionReading, knownRevision: number): void {
-    this.pending.push(reading)
-    if (this.pending.length > MOST_PENDING) this.pending.shift()
+    this.pendingReadings.push(reading)
+    if (this.pendingReadings.length > MAX_PENDING_READINGS) this.pendingReadings.shift()
     this.handleRevision(knownRevision)
   }
 
   /** @param knownRevision up to which changes are known from now on */
   handleRevision (knownRevision: number): void {
-    for (const { askedAt, revision } of this.pending) {
-      if (revision <= knownRevision) this.at = Math.max(this.at, askedAt)
+    for (const { askedAt, revision } of this.pendingReadings) {
+      if (revision <= knownRevision) this.latestProvenAt = Math.max(this.latestProvenAt, askedAt)
     }
-    this.pending = this.pending.filter(({ revision }) => revision > knownRevision)
+    this.pendingReadings = this.pendingReadings.filter(({ revision }) => revision > knownRevision)
   }
 
   /** @param at an instant at which the VM that tells the records had the newest, all of which are known here */
   recordTold (at: Instant): void {
-    this.at = Math.max(this.at, at)
+    this.latestProvenAt = Math.max(this.latestProvenAt, at)
   }
 
   /**
@@ -59,6 +59,6 @@
    * @returns how old the records may be, in milliseconds; Infinity if nothing is proven
    */
   getAgeMs (now: Instant): number {
-    return Math.max(0, now - this.at)
+    return Math.max(0, now - this.latestProvenAt)
   }
 }
--- a/packages/steering/src/common/entry/recordTable.ts
+++ b/packages/steering/src/common/entry/recordTable.ts
@@ -9,7 +9,7 @@
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, hasPassed, type Deadline } from '@umberspar/base/common/deadline'
-import { type DocumentChange, DocumentParts } from './documentParts.js'
+import { type DocumentDelta, DocumentParts } from './documentParts.js'
 import type { RecordNews, RevisionGap } from './recordNews.js'
 import { type RecordChange, type RecordChanges, RecordKind, type RecordSnapshot, type RemovedRecord, type SteeringRecord, UpstreamState } from './records.js'
 
@@ -17,34 +17,34 @@
  * How long after the store's return a missing registration may still come back, in
  * milliseconds: workers renew every 1.5 s or so and are said to be back within about 2 s.
  */
-export const RETURN_SPAN_MS = 2_100
+export const REREGISTRATION_GRACE_MS = 2_100
 /**
  * Shorter outages make no registration lapse, since that takes three missed
  * renewals; holding removals back after them would only delay what is true.
  */
-const LEAST_OUTAGE_MS = 2_000
+const MIN_OUTAGE_MS = 2_000
 
 /** Removals kept for VMs that learn from this one; one that is further behind is told everything. */
-const MOST_REMOVALS = 4_096
+const MAX_TOMBSTONES = 4_096
 
 /** Readings of everything that are remembered; the store drops its history now and then only. */
-const MOST_GAPS = 32
+const MAX_GAPS = 32
 
 /** Everything that this entry VM believes, by key. */
 export class RecordTable {
   private readonly recordsByKey = new Map<string, SteeringRecord>()
   /** Keys that disappeared while the store was away or just after, with when to believe it; Infinity until the store is back. */
-  private readonly removalsByKey = new Map<string, Deadline>()
+  private readonly heldRemovalsByKey = new Map<string, Deadline>()
   /** Removals by key in the order in which they were learned, held ones included. */
-  private readonly removedByKey = new Map<string, number>()
+  private readonly tombstonesByKey = new Map<string, number>()
   /** Removals up to this revision may have been forgotten, or never been known. */
-  private forgottenRevision = 0
+  private discardedRevision = 0
   /** What came and went within these never showed; the oldest first. */
   private gaps: RevisionGap[] = []
   /** The configuration that stands, for telling what changed of it. */
-  private readonly parts = new DocumentParts()
+  private readonly documentParts = new DocumentParts()
   private storeRevision = 0
-  private holdUntil: Deadline = Number.NEGATIVE_INFINITY
+  private holdRemovalsUntil: Deadline = Number.NEGATIVE_INFINITY
   private storeLostAt: Instant | undefined
 
   /** @returns the revision up to which everything is known; 0 before anything is */
@@ -68,12 +68,12 @@
    */
   recordStoreRegained (now: Instant, holdMs?: number): void {
     if (this.storeLostAt === undefined) return
-    const awayMs = now - this.storeLostAt
+    const outageMs = now - this.storeLostAt
     this.storeLostAt = undefined
-    const spanMs = holdMs ?? (awayMs < LEAST_OUTAGE_MS ? 0 : RETURN_SPAN_MS)
+    const holdSpanMs = holdMs ?? (outageMs < MIN_OUTAGE_MS ? 0 : REREGISTRATION_GRACE_MS)
     // A short outage just after a long one does not shorten the wait for what the long one lost.
-    this.holdUntil = Math.max(this.holdUntil, createDeadline(now, spanMs))
-    for (const key of this.removalsByKey.keys()) this.removalsByKey.set(key, this.holdUntil)
+    this.holdRemovalsUntil = Math.max(this.holdRemovalsUntil, createDeadline(now, holdSpanMs))
+    for (const key of this.heldRemovalsByKey.keys()) this.heldRemovalsByKey.set(key, this.holdRemovalsUntil)
   }
 
   /**
@@ -81,7 +81,7 @@
    * @returns how much longer what disappears is held back, in milliseconds
    */
   getHoldMs (now: Instant): number {
-    return Math.max(0, this.holdUntil - now)
+    return Math.max(0, this.holdRemovalsUntil - now)
   }
 
   /**
@@ -90,7 +90,7 @@
    * @param holdMs how much longer that VM does so, in milliseconds
    */
   updateHold (now: Instant, holdMs: number): void {
-    if (holdMs > 0) this.holdUntil = Math.max(this.holdUntil, createDeadline(now, holdMs))
+    if (holdMs > 0) this.holdRemovalsUntil = Math.max(this.holdRemovalsUntil, createDeadline(now, holdMs))
   }
 
   /**
@@ -113,30 +113,30 @@
   /**
    * Takes over what another VM tells: the store's own events, not that VM's
    * judgement of them, so that what disappeared in an outage is held back here as there.
-   * @param news what it tells
+   * @param update what it tells
    * @param now the present
    * @returns the records that changed, appeared or disappeared; undefined if what is known
    *   here is not what the news were told for, so that everything has to be told
    */
-  applyNews (news: RecordNews, now: Instant): RecordChange[] | undefined {
-    if (!news.isWhole) return this.applyPart(news, now)
-    if (news.revision < this.storeRevision) return []
-    const changes = this.applySnapshot({ revision: news.revision, records: news.written }, now)
-    return [...changes, ...news.removed.flatMap((gone) => this.removeRecord(gone, now))]
+  applyNews (update: RecordNews, now: Instant): RecordChange[] | undefined {
+    if (!update.isWhole) return this.applyDelta(update, now)
+    if (update.revision < this.storeRevision) return []
+    const changes = this.applySnapshot({ revision: update.revision, records: update.written }, now)
+    return [...changes, ...update.removed.flatMap((removal) => this.removeRecord(removal, now))]
   }
 
-  private applyPart (news: RecordNews, now: Instant): RecordChange[] | undefined {
-    const { document: change } = news
+  private applyDelta (delta: RecordNews, now: Instant): RecordChange[] | undefined {
+    const { document: documentDelta } = delta
     // A read of the operators' records alone may have brought a later configuration than the rest.
-    const knownUntil = change === undefined ? 0 : Math.max(this.storeRevision, this.get(change.key)?.revision ?? 0)
-    const isNew = change !== undefined && change.revision > knownUntil
-    const value = isNew ? this.parts.mergeChange(change) : undefined
+    const knownRevision = documentDelta === undefined ? 0 : Math.max(this.storeRevision, this.get(documentDelta.key)?.revision ?? 0)
+    const isNew = documentDelta !== undefined && documentDelta.revision > knownRevision
+    const value = isNew ? this.documentParts.mergeDelta(documentDelta) : undefined
     if (isNew && value === undefined) return undefined
-    for (const gap of news.gaps) this.putGap(gap)
-    if (value === undefined) return this.applyChanges(news, now)
-    const { key, revision } = change!
-    const changes = this.applyChanges({ ...news, written: [...news.written, { kind: RecordKind.Document, key, revision, value }] }, now)
-    if (this.get(key)?.value === value) this.parts.markChanged(change!)
+    for (const gap of delta.gaps) this.putGap(gap)
+    if (value === undefined) return this.applyChanges(delta, now)
+    const { key, revision } = documentDelta!
+    const changes = this.applyChanges({ ...delta, written: [...delta.written, { kind: RecordKind.Document, key, revision, value }] }, now)
+    if (this.get(key)?.value === value) this.documentParts.markChanged(documentDelta!)
     return changes
   }
 
@@ -146,23 +146,23 @@
    */
   readNewsAfter (revision: number): RecordNews | undefined {
     if (revision >= this.storeRevision) return undefined
-    const isWhole = revision === 0 || revision < this.forgottenRevision || this.gaps.some(({ after, until }) => revision > after && revision < until)
-    const removals = [...this.removedByKey].map(([key, at]) => ({ key, revision: at }))
+    const isWhole = revision === 0 || revision < this.discardedRevision || this.gaps.some(({ after, until }) => revision > after && revision < until)
+    const tombstones = [...this.tombstonesByKey].map(([key, at]) => ({ key, revision: at }))
     const written = isWhole ? this.list() : this.list().filter((record) => record.revision > revision)
-    const document = isWhole ? undefined : this.readDocumentChange(written, revision)
+    const document = isWhole ? undefined : this.buildDocumentDelta(written, revision)
     return {
       revision: this.storeRevision,
       isWhole,
       gaps: isWhole ? [] : this.gaps.filter(({ until }) => until > revision),
       written: document === undefined ? written : written.filter(({ kind }) => kind !== RecordKind.Document),
       document,
-      removed: isWhole ? removals.filter(({ key }) => this.removalsByKey.has(key)) : removals.filter((gone) => gone.revision > revision)
+      removed: isWhole ? tombstones.filter(({ key }) => this.heldRemovalsByKey.has(key)) : tombstones.filter((tombstone) => tombstone.revision > revision)
     }
   }
 
-  private readDocumentChange (written: readonly SteeringRecord[], known: number): DocumentChange | undefined {
+  private buildDocumentDelta (written: readonly SteeringRecord[], knownRevision: number): DocumentDelta | undefined {
     const record = written.find(({ kind }) => kind === RecordKind.Document)
-    return record?.kind === RecordKind.Document ? this.parts.readChangeAfter(record.value, record, known) : undefined
+    return record?.kind === RecordKind.Document ? this.documentParts.buildDeltaAfter(record.value, record, knownRevision) : undefined
   }
 
   /**
@@ -188,13 +188,13 @@
    */
   releaseHeld (now: Instant): RecordChange[] {
     if (this.storeLostAt !== undefined) return []
-    const due = [...this.removalsByKey].filter(([, deadline]) => hasPassed(deadline, now))
+    const due = [...this.heldRemovalsByKey].filter(([, deadline]) => hasPassed(deadline, now))
     return due.map(([key]) => this.deleteRecord(key))
   }
 
   /** @returns whether something waits for `releaseHeld` */
   get hasHeld (): boolean {
-    return this.removalsByKey.size > 0
+    return this.heldRemovalsByKey.size > 0
   }
 
   /**
@@ -212,19 +212,19 @@
 
   private mergeRecords (changes: RecordChanges, now: Instant): RecordChange[] {
     const written = changes.written.flatMap((record) => this.putRecord(record))
-    const removed = changes.removed.flatMap((gone) => this.removeRecord(gone, now))
+    const removed = changes.removed.flatMap((removal) => this.removeRecord(removal, now))
     this.storeRevision = Math.max(this.storeRevision, changes.revision)
     return [...written, ...removed]
   }
 
   private putRecord (record: SteeringRecord): RecordChange[] {
     const previous = this.recordsByKey.get(record.key)
-    this.removalsByKey.delete(record.key)
-    if ((this.removedByKey.get(record.key) ?? 0) < record.revision) this.removedByKey.delete(record.key)
+    this.heldRemovalsByKey.delete(record.key)
+    if ((this.tombstonesByKey.get(record.key) ?? 0) < record.revision) this.tombstonesByKey.delete(record.key)
     if (previous !== undefined && previous.revision >= record.revision) return []
     if (isOlderDocument(previous, record)) return []
     this.recordsByKey.set(record.key, record)
-    if (record.kind === RecordKind.Document) this.parts.putDocument(record.value, record.revision)
+    if (record.kind === RecordKind.Document) this.documentParts.putDocument(record.value, record.revision)
     return [{ record, previous }]
   }
 
@@ -235,53 +235,53 @@
    */
   private recordGap (until: number): void {
     if (until <= this.storeRevision) return
-    if (this.storeRevision === 0) this.forgottenRevision = until
+    if (this.storeRevision === 0) this.discardedRevision = until
     else this.putGap({ after: this.storeRevision, until })
   }
 
   private putGap ({ after, until }: RevisionGap): void {
     if (this.gaps.some((gap) => gap.after === after && gap.until === until)) return
     this.gaps.push({ after, until })
-    if (this.gaps.length <= MOST_GAPS) return
-    this.forgottenRevision = Math.max(this.forgottenRevision, this.gaps.shift()!.until)
+    if (this.gaps.length <= MAX_GAPS) return
+    this.discardedRevision = Math.max(this.discardedRevision, this.gaps.shift()!.until)
   }
 
   private deleteRecord (key: string): RecordChange {
     const previous = this.recordsByKey.get(key)
-    this.removalsByKey.delete(key)
+    this.heldRemovalsByKey.delete(key)
     this.recordsByKey.delete(key)
     return { record: undefined, previous }
   }
 
   /** Notes a removal for VMs that learn from this one. */
-  private recordRemoval ({ key, revision }: RemovedRecord): void {
-    const known = this.removedByKey.get(key) ?? 0
-    this.removedByKey.delete(key)
-    this.removedByKey.set(key, Math.max(known, revision))
-    if (this.removedByKey.size <= MOST_REMOVALS) return
-    const [oldestKey, oldestRevision] = this.removedByKey.entries().next().value!
-    this.removedByKey.delete(oldestKey)
-    this.forgottenRevision = Math.max(this.forgottenRevision, oldestRevision)
+  private recordTombstone ({ key, revision }: RemovedRecord): void {
+    const known = this.tombstonesByKey.get(key) ?? 0
+    this.tombstonesByKey.delete(key)
+    this.tombstonesByKey.set(key, Math.max(known, revision))
+    if (this.tombstonesByKey.size <= MAX_TOMBSTONES) return
+    const [oldestKey, oldestRevision] = this.tombstonesByKey.entries().next().value!
+    this.tombstonesByKey.delete(oldestKey)
+    this.discardedRevision = Math.max(this.discardedRevision, oldestRevision)
   }
 
-  private removeRecord (gone: RemovedRecord, now: Instant): RecordChange[] {
-    const { key, revision } = gone
+  private removeRecord (removal: RemovedRecord, now: Instant): RecordChange[] {
+    const { key, revision } = removal
     const known = this.recordsByKey.get(key)
     // The configuration is only ever replaced; one that cannot be found is a fault of the reading.
     if (known !== undefined && (known.revision > revision || known.kind === RecordKind.Document)) return []
     // What this VM never knew, one that learns from it may.
-    this.recordRemoval(gone)
+    this.recordTombstone(removal)
     if (known === undefined) return []
-    const isHeld = this.storeLostAt !== undefined || !hasPassed(this.holdUntil, now)
-    if (!isHeld || !mayReturn(known)) return [this.deleteRecord(key)]
+    const isHeld = this.storeLostAt !== undefined || !hasPassed(this.holdRemovalsUntil, now)
+    if (!isHeld || !mayReregister(known)) return [this.deleteRecord(key)]
     // Counted from the store's return, not from the removal: what leaves after the return must not be held on top.
-    if (!this.removalsByKey.has(key)) this.removalsByKey.set(key, this.storeLostAt === undefined ? this.holdUntil : Infinity)
+    if (!this.heldRemovalsByKey.has(key)) this.heldRemovalsByKey.set(key, this.storeLostAt === undefined ? this.holdRemovalsUntil : Infinity)
     return []
   }
 }
 
 /** A lapsed lease removes what lives; the operator's records and announced leavings have none. */
-function mayReturn (record: SteeringRecord): boolean {
+function mayReregister (record: SteeringRecord): boolean {
   if (record.kind === RecordKind.Upstream) return record.value.state === UpstreamState.Ready
   return record.kind === RecordKind.Node
 }
--- a/packages/steering/src/common/entry/repeatWindow.ts
+++ b/packages/steering/src/common/entry/retryBudget.ts
@@ -6,7 +6,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 
 /** The budget as operators set it. */
-export interface RepeatBudget {
+export interface RetryBudgetSettings {
   /** Repeats for each request. */
   readonly ratio: number
   /** The window, in milliseconds. */
@@ -19,25 +19,25 @@
  * The part of the ratio that is spent. Requests that reach two services, by a
  * split or by a change of the configuration, count at one of them only.
  */
-const SPENT_RATIO_PART = 0.7
+const SPENDABLE_RATIO_FRACTION = 0.7
 /** The part of the slack that is shared out; the rest covers VMs that have just come or gone. */
-const SPENT_SLACK_PART = 0.6
+const SPENDABLE_SLACK_FRACTION = 0.6
 
 /** Counts one service's requests and repeats. */
-export class RepeatWindow {
-  private firstAt: Instant[] = []
-  private repeatAt: Instant[] = []
+export class RetryBudget {
+  private requestTimes: Instant[] = []
+  private retryTimes: Instant[] = []
 
   /**
-   * @param budget the operators' budget
+   * @param settings the operators' budget
    * @param countNodes how many entry VMs share the slack, at the moment
    */
-  constructor (private readonly budget: RepeatBudget, private readonly countNodes: () => number) {}
+  constructor (private readonly settings: RetryBudgetSettings, private readonly countNodes: () => number) {}
 
   /** @param now when a request came */
   recordFirst (now: Instant): void {
-    this.firstAt.push(now)
-    if (this.firstAt.length > 256 && this.firstAt[0]! < now - this.budget.windowMs) this.removeOld(now)
+    this.requestTimes.push(now)
+    if (this.requestTimes.length > 256 && this.requestTimes[0]! < now - this.settings.windowMs) this.removeExpired(now)
   }
 
   /**
@@ -47,7 +47,7 @@
    */
   take (now: Instant): boolean {
     if (this.countLeft(now) < 1) return false
-    this.repeatAt.push(now)
+    this.retryTimes.push(now)
     return true
   }
 
@@ -56,15 +56,15 @@
    * @returns the repeats that could be sent at once
    */
   countLeft (now: Instant): number {
-    this.removeOld(now)
-    const slack = this.budget.slack * SPENT_SLACK_PART / Math.max(1, this.countNodes())
-    const allowed = this.firstAt.length * this.budget.ratio * SPENT_RATIO_PART + slack
-    return Math.max(0, Math.floor(allowed - this.repeatAt.length))
+    this.removeExpired(now)
+    const slack = this.settings.slack * SPENDABLE_SLACK_FRACTION / Math.max(1, this.countNodes())
+    const allowed = this.requestTimes.length * this.settings.ratio * SPENDABLE_RATIO_FRACTION + slack
+    return Math.max(0, Math.floor(allowed - this.retryTimes.length))
   }
 
-  private removeOld (now: Instant): void {
-    const from = now - this.budget.windowMs
-    this.firstAt = this.firstAt.filter((at) => at > from)
-    this.repeatAt = this.repeatAt.filter((at) => at > from)
+  private removeExpired (now: Instant): void {
+    const windowStart = now - this.settings.windowMs
+    this.requestTimes = this.requestTimes.filter((at) => at > windowStart)
+    this.retryTimes = this.retryTimes.filter((at) => at > windowStart)
   }
 }
--- a/packages/steering/src/common/entry/steeringDocument.ts
+++ b/packages/steering/src/common/entry/steeringDocument.ts
@@ -19,7 +19,7 @@
 }
 
 /** One service of a route, with its part of the route's requests. */
-export interface RoutePart {
+export interface WeightedService {
   readonly service: string
   /** Relative to the other parts of the route; above 0. */
   readonly weight: number
@@ -33,7 +33,7 @@
   readonly prefix: string
   readonly kind: RouteKind
   /** One part or several; weights need not add up to anything. */
-  readonly parts: readonly RoutePart[]
+  readonly parts: readonly WeightedService[]
   /** The longest time a caller is kept waiting, in milliseconds. */
   readonly timeoutMs: number
   /** The time within which an answer is worth most, in milliseconds. */
@@ -104,12 +104,12 @@
   readonly accounts?: readonly AccountPolicy[] | undefined
 }
 
-const REPEATABLE_KINDS: ReadonlySet<RouteKind> = new Set([RouteKind.Idempotent, RouteKind.Download])
+const RETRYABLE_KINDS: ReadonlySet<RouteKind> = new Set([RouteKind.Idempotent, RouteKind.Download])
 
 /**
  * @param kind a route's kind
  * @returns whether its requests may run more than once
  */
-export function isRepeatable (kind: RouteKind): boolean {
-  return REPEATABLE_KINDS.has(kind)
+export function isRetryable (kind: RouteKind): boolean {
+  return RETRYABLE_KINDS.has(kind)
 }
--- a/packages/steering/src/common/entry/upstreamTracker.ts
+++ b/packages/steering/src/common/entry/upstreamTracker.ts
@@ -12,19 +12,19 @@
 }
 
 /** How much the newest request counts in the mean of failures; five in a row give two thirds. */
-const FAILURE_GAIN = 0.2
+const FAILURE_SMOOTHING_FACTOR = 0.2
 /** Without requests a worker's failures count half after so many milliseconds, so that it is tried again. */
 const FAILURE_HALF_LIFE_MS = 1_500
 /** How much the newest answer counts in the mean of how slow a worker is. */
-const SLOWNESS_GAIN = 0.3
+const SLOWDOWN_SMOOTHING_FACTOR = 0.3
 /** Without answers a worker's slowness counts half after so many milliseconds. */
-const SLOWNESS_HALF_LIFE_MS = 3_000
+const SLOWDOWN_HALF_LIFE_MS = 3_000
 /** A worker is rated slower than its service by no more than this factor. */
-const MOST_SLOWNESS = 10
+const MAX_SLOWDOWN_RATIO = 10
 /** A load report is taken as it stands for so many milliseconds: a request or two later the queue is another. */
-const REPORT_SPAN_MS = 1_000
+const REPORT_VALIDITY_MS = 1_000
 /** How much the newest report counts in the mean load, which stands in for older reports. */
-const LOAD_GAIN = 0.3
+const LOAD_SMOOTHING_FACTOR = 0.3
 /**
  * The mean load counts half after so many milliseconds without a report. In a large
  * fleet a VM hears of a worker every few seconds only; taking it for idle meanwhile
@@ -32,11 +32,11 @@
  */
 const LOAD_HALF_LIFE_MS = 4_000
 /** A request that takes this many times as long as expected, and the span below, speaks against its worker. */
-const OVERDUE_FACTOR = 2.5
+const OVERDUE_RATIO = 2.5
 /** Short requests are late by chance; none is called overdue before so many milliseconds. */
-const LEAST_OVERDUE_MS = 250
+const MIN_OVERDUE_MS = 250
 /** How failed a worker counts while a request of its is overdue. */
-const OVERDUE_FAILURE = 0.8
+const OVERDUE_FAILURE_RATE = 0.8
 
 /** One request that a worker has not answered yet. */
 export interface OpenRequest {
@@ -52,35 +52,35 @@
   /** Requests that would have gone there first, sent or not, while it named one. */
   readonly demandMeter = new SendMeter()
   private coldUntil: Deadline
-  private readonly open = new Set<OpenRequest>()
-  private report: LoadReport | undefined
+  private readonly inFlight = new Set<OpenRequest>()
+  private lastReport: LoadReport | undefined
   private reportedAt: Instant = Number.NEGATIVE_INFINITY
   private meanLoad = 0
   private sentSinceReport = 0
-  private failure = 0
-  private failureAt: Instant = 0
-  private slowness = 1
-  private slownessAt: Instant = 0
+  private failureRate = 0
+  private failureRateAt: Instant = 0
+  private slowdown = 1
+  private slowdownAt: Instant = 0
   /** Requests a second that the worker takes from all entry VMs together; undefined if it names no limit. */
   rateLimit: number | undefined
   /** When it was named last, or a request was sent to find out whether it still holds. */
   rateLimitAt: Instant = 0
   /** Requests sent to it; 0 for a worker that never got one. */
-  sent = 0
+  sentCount = 0
 
   /**
    * @param entry the worker's registration
    * @param now the present, from which its coldness counts
-   * @param formerLives start times of earlier lives under the same id
+   * @param earlierStartTimes start times of earlier lives under the same id
    */
-  constructor (public entry: UpstreamEntry, now: Instant, private readonly formerLives: readonly number[] = []) {
+  constructor (public entry: UpstreamEntry, now: Instant, private readonly earlierStartTimes: readonly number[] = []) {
     this.coldUntil = createDeadline(now, entry.coldMs)
   }
 
   /** @returns the start times of all lives known under this id, the present one included */
-  listLives (): number[] {
+  listStartTimes (): number[] {
     const { startedAt } = this.entry
-    return startedAt === undefined ? [...this.formerLives] : [...this.formerLives, startedAt]
+    return startedAt === undefined ? [...this.earlierStartTimes] : [...this.earlierStartTimes, startedAt]
   }
 
   /**
@@ -88,8 +88,8 @@
    * after it: the worker would count as started once more, with nothing at hand.
    * @returns whether a registration is of a life that ended before the present one
    */
-  isFormerLife ({ startedAt }: UpstreamEntry): boolean {
-    return startedAt !== undefined && this.formerLives.includes(startedAt)
+  isEarlierStart ({ startedAt }: UpstreamEntry): boolean {
+    return startedAt !== undefined && this.earlierStartTimes.includes(startedAt)
   }
 
   /**
@@ -97,17 +97,17 @@
    * requests that were under way there.
    * @returns whether a registration is of another life than the present one
    */
-  isOtherLife ({ startedAt }: UpstreamEntry): boolean {
+  isOtherStart ({ startedAt }: UpstreamEntry): boolean {
     return startedAt !== undefined && this.entry.startedAt !== undefined && startedAt !== this.entry.startedAt
   }
 
   /**
-   * @param entry what the worker now says of itself
+   * @param registration what the worker now says of itself
    * @param now the present
    */
-  update (entry: UpstreamEntry, now: Instant): void {
-    this.entry = { ...entry, startedAt: entry.startedAt ?? this.entry.startedAt }
-    if (entry.coldMs > 0) this.markCold(createDeadline(now, entry.coldMs))
+  update (registration: UpstreamEntry, now: Instant): void {
+    this.entry = { ...registration, startedAt: registration.startedAt ?? this.entry.startedAt }
+    if (registration.coldMs > 0) this.markCold(createDeadline(now, registration.coldMs))
   }
 
   /** @param until when the worker is warm again; an earlier instant than the one known changes nothing */
@@ -130,10 +130,10 @@
    * @returns the request, for `finish`
    */
   start (now: Instant, expectedMs: number): OpenRequest {
-    const request = { overdueAt: now + Math.max(LEAST_OVERDUE_MS, expectedMs * OVERDUE_FACTOR) }
-    this.open.add(request)
+    const request = { overdueAt: now + Math.max(MIN_OVERDUE_MS, expectedMs * OVERDUE_RATIO) }
+    this.inFlight.add(request)
     this.sentSinceReport++
-    this.sent++
+    this.sentCount++
     if (this.isCold(now)) this.coldMeter.record(now)
     if (this.rateLimit !== undefined) {
       this.rateMeter.record(now)
@@ -144,7 +144,7 @@
 
   /** @param request what `start` returned, when it has ended in any way */
   finish (request: OpenRequest): void {
-    this.open.delete(request)
+    this.inFlight.delete(request)
   }
 
   /**
@@ -152,8 +152,8 @@
    * @param now when the answer came
    */
   recordReport (report: LoadReport, now: Instant): void {
-    this.meanLoad += LOAD_GAIN * (report.running + report.waiting - this.meanLoad)
-    this.report = report
+    this.meanLoad += LOAD_SMOOTHING_FACTOR * (report.running + report.waiting - this.meanLoad)
+    this.lastReport = report
     this.reportedAt = now
     this.sentSinceReport = 0
   }
@@ -163,25 +163,25 @@
    * @param now the present
    */
   recordResult (isFailure: boolean, now: Instant): void {
-    const failure = this.getFailure(now)
-    this.failure = failure + FAILURE_GAIN * (Number(isFailure) - failure)
-    this.failureAt = now
+    const failureRate = this.getFailure(now)
+    this.failureRate = failureRate + FAILURE_SMOOTHING_FACTOR * (Number(isFailure) - failureRate)
+    this.failureRateAt = now
   }
 
   /** Notes that no connection to the worker could be made. @param now the present */
   recordUnreachable (now: Instant): void {
-    this.failure = 1
-    this.failureAt = now
+    this.failureRate = 1
+    this.failureRateAt = now
   }
 
   /**
-   * @param ratio how long an answer took, over how long was expected
+   * @param latencyRatio how long an answer took, over how long was expected
    * @param now the present
    */
-  recordSpeed (ratio: number, now: Instant): void {
-    const slowness = this.getSlowness(now)
-    this.slowness = slowness + SLOWNESS_GAIN * (Math.min(MOST_SLOWNESS, ratio) - slowness)
-    this.slownessAt = now
+  recordLatencyRatio (latencyRatio: number, now: Instant): void {
+    const slowdown = this.getSlowness(now)
+    this.slowdown = slowdown + SLOWDOWN_SMOOTHING_FACTOR * (Math.min(MAX_SLOWDOWN_RATIO, latencyRatio) - slowdown)
+    this.slowdownAt = now
   }
 
   /**
@@ -189,8 +189,8 @@
    * @returns the part of requests that the worker is believed to fail, 0 to 1
    */
   getFailure (now: Instant): number {
-    const faded = this.failure * 2 ** (-(now - this.failureAt) / FAILURE_HALF_LIFE_MS)
-    return this.hasOverdue(now) ? Math.max(OVERDUE_FAILURE, faded) : faded
+    const decayed = this.failureRate * 2 ** (-(now - this.failureRateAt) / FAILURE_HALF_LIFE_MS)
+    return this.hasOverdueRequest(now) ? Math.max(OVERDUE_FAILURE_RATE, decayed) : decayed
   }
 
   /**
@@ -198,8 +198,8 @@
    * @returns how many times slower than its service the worker is, 1 if it is not
    */
   getSlowness (now: Instant): number {
-    const excess = Math.max(0, this.slowness - 1)
-    return 1 + excess * 2 ** (-(now - this.slownessAt) / SLOWNESS_HALF_LIFE_MS)
+    const excess = Math.max(0, this.slowdown - 1)
+    return 1 + excess * 2 ** (-(now - this.slowdownAt) / SLOWDOWN_HALF_LIFE_MS)
   }
 
   /**
@@ -207,15 +207,15 @@
    * @returns the requests that the worker is believed to hold, of all entry VMs
    */
   countHeld (now: Instant): number {
-    if (this.report === undefined) return this.open.size
+    if (this.lastReport === undefined) return this.inFlight.size
     const ageMs = now - this.reportedAt
-    if (ageMs > REPORT_SPAN_MS) return Math.max(this.open.size, this.meanLoad * 2 ** (-(ageMs - REPORT_SPAN_MS) / LOAD_HALF_LIFE_MS))
-    return Math.max(this.open.size, this.report.running + this.report.waiting + this.sentSinceReport)
+    if (ageMs > REPORT_VALIDITY_MS) return Math.max(this.inFlight.size, this.meanLoad * 2 ** (-(ageMs - REPORT_VALIDITY_MS) / LOAD_HALF_LIFE_MS))
+    return Math.max(this.inFlight.size, this.lastReport.running + this.lastReport.waiting + this.sentSinceReport)
   }
 
-  private hasOverdue (now: Instant): boolean {
+  private hasOverdueRequest (now: Instant): boolean {
     // Requests stand in the order in which they were sent; later ones are rarely due earlier.
-    const oldest = this.open.values().next().value
+    const oldest = this.inFlight.values().next().value
     return oldest !== undefined && oldest.overdueAt <= now
   }
 }
--- a/packages/steering/src/common/entry/placeShares.ts
+++ b/packages/steering/src/common/entry/workerShares.ts
@@ -7,10 +7,10 @@
  * slots. Both together are an optimal-transport problem with equal supply in each
  * domain; Sinkhorn's scaling solves its smoothed form in a few rounds.
  */
-import { classifyNearness, Nearness } from './nearness.js'
+import { classifyProximity, Proximity } from './proximity.js'
 
 /** A worker, as far as its share depends on it. */
-export interface SharedWorker {
+export interface WorkerCapacity {
   readonly id: string
   readonly domain: string
   readonly slots: number
@@ -23,34 +23,34 @@
  * of both ask for the same objects, and preferring a domain's own workers gave each
  * object a worker for either, both of which had to work on it anew.
  */
-const PREFERENCE: Readonly<Record<Nearness, number>> = {
-  [Nearness.SameDomain]: 1,
-  [Nearness.SameRegion]: 1,
-  [Nearness.OtherRegion]: 0.05
+const PREFERENCE_BY_PROXIMITY: Readonly<Record<Proximity, number>> = {
+  [Proximity.SameDomain]: 1,
+  [Proximity.SameRegion]: 1,
+  [Proximity.OtherRegion]: 0.05
 }
 /**
  * A worker may get this many times its even part where that keeps requests near.
  * Objects kept at hand are a few dozen a worker; more than that many are worked on
  * anew each time, which costs far more than the way to another region.
  */
-const MOST_LOAD_FACTOR = 1.05
+const MAX_LOAD_RATIO = 1.05
 /** Rounds of scaling; the shares then add up within a percent with the preferences above. */
-const ROUNDS = 30
+const SCALING_ROUNDS = 30
 
 /** Shares by worker id, for requests that arrive in one domain. */
-export type Shares = ReadonlyMap<string, number>
+export type WorkerShares = ReadonlyMap<string, number>
 
 /**
  * @param workers the workers that may get work
- * @param regionOf all failure domains with their regions
+ * @param regionByDomain all failure domains with their regions
  * @returns the shares of the workers for each domain; each domain's add up to 1
  */
-export function computeShares (workers: readonly SharedWorker[], regionOf: ReadonlyMap<string, string>): Map<string, Shares> {
-  const domains = [...regionOf.keys()]
-  const allSlots = workers.reduce((sum, { slots }) => sum + slots, 0)
-  const matrix = domains.map((domain) => workers.map((worker) => PREFERENCE[classifyNearness(domain, worker.domain, regionOf)]))
-  const targets = workers.map(({ slots }) => MOST_LOAD_FACTOR * domains.length * slots / allSlots)
-  for (let round = 0; round < ROUNDS; round++) {
+export function computeWorkerShares (workers: readonly WorkerCapacity[], regionByDomain: ReadonlyMap<string, string>): Map<string, WorkerShares> {
+  const domains = [...regionByDomain.keys()]
+  const totalSlots = workers.reduce((sum, { slots }) => sum + slots, 0)
+  const matrix = domains.map((domain) => workers.map((worker) => PREFERENCE_BY_PROXIMITY[classifyProximity(domain, worker.domain, regionByDomain)]))
+  const targets = workers.map(({ slots }) => MAX_LOAD_RATIO * domains.length * slots / totalSlots)
+  for (let round = 0; round < SCALING_ROUNDS; round++) {
     scaleColumns(matrix, targets)
     scaleRows(matrix)
   }
--- a/packages/steering/test/common/entry/recordNews.test.ts
+++ b/packages/steering/test/common/entry/recordNews.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { describe, it } from 'node:test'
 import { RecordKind, type SteeringRecord, UpstreamState } from '../../../src/common/entry/records.js'
-import { RecordTable, RETURN_SPAN_MS } from '../../../src/common/entry/recordTable.js'
+import { RecordTable, REREGISTRATION_GRACE_MS } from '../../../src/common/entry/recordTable.js'
 
 const SEED = 20261203
 
@@ -173,8 +173,8 @@
     listener.recordStoreRegained(5_100, teller.getHoldMs(5_100))
     takeNews(listener, teller, 5_100)
     assert.deepEqual(toText(listener), ['w/1@5'])
-    assert.deepEqual(listener.releaseHeld(5_000 + RETURN_SPAN_MS - 1), [])
-    assert.equal(listener.releaseHeld(5_000 + RETURN_SPAN_MS).length, 1)
+    assert.deepEqual(listener.releaseHeld(5_000 + REREGISTRATION_GRACE_MS - 1), [])
+    assert.equal(listener.releaseHeld(5_000 + REREGISTRATION_GRACE_MS).length, 1)
   })
 
   it('are held back as well by a VM that learns everything after the outage', () => {
@@ -187,7 +187,7 @@
     listener.updateHold(5_500, teller.getHoldMs(5_500))
     takeNews(listener, teller, 5_500)
     assert.deepEqual(toText(listener), ['w/1@5'])
-    assert.equal(listener.releaseHeld(5_000 + RETURN_SPAN_MS).length, 1)
+    assert.equal(listener.releaseHeld(5_000 + REREGISTRATION_GRACE_MS).length, 1)
   })
 
   it('tell everything to a VM that is further behind than the removals kept', () => {
--- a/packages/steering/test/common/entry/recordTable.test.ts
+++ b/packages/steering/test/common/entry/recordTable.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { describe, it } from 'node:test'
 import { RecordKind, type SteeringRecord, UpstreamState } from '../../../src/common/entry/records.js'
-import { RecordTable, RETURN_SPAN_MS } from '../../../src/common/entry/recordTable.js'
+import { RecordTable, REREGISTRATION_GRACE_MS } from '../../../src/common/entry/recordTable.js'
 import { RouteKind } from '../../../src/common/entry/steeringDocument.js'
 
 const SEED = 20261202
@@ -77,7 +77,7 @@
     table.applyChanges({ revision: 9, written: [], removed: [{ key: 'w/1', revision: 8 }, { key: 'w/2', revision: 9 }] }, 5_000)
     assert.notEqual(table.get('w/1'), undefined)
     table.applyChanges({ revision: 10, written: [createWorker('1', 10)], removed: [] }, 6_500)
-    assert.deepEqual(table.releaseHeld(5_000 + RETURN_SPAN_MS).map(({ previous }) => previous?.key), ['w/2'])
+    assert.deepEqual(table.releaseHeld(5_000 + REREGISTRATION_GRACE_MS).map(({ previous }) => previous?.key), ['w/2'])
     assert.notEqual(table.get('w/1'), undefined, 'it came back')
   })
 
@@ -91,7 +91,7 @@
     table.recordStoreLost(0)
     table.recordStoreRegained(5_000)
     table.applyChanges({ revision: 9, written: [], removed: [{ key: 'w/1', revision: 9 }] }, 6_000)
-    assert.deepEqual(table.releaseHeld(5_000 + RETURN_SPAN_MS).map(({ previous }) => previous?.key), ['w/1'])
+    assert.deepEqual(table.releaseHeld(5_000 + REREGISTRATION_GRACE_MS).map(({ previous }) => previous?.key), ['w/1'])
   })
 
   it('let go after a short outage of what they held in it', () => {
--- a/packages/steering/test/common/entry/shares.test.ts
+++ b/packages/steering/test/common/entry/shares.test.ts
@@ -3,15 +3,15 @@
 import { describe, it } from 'node:test'
 import { computeColdAllowance } from '../../../src/common/entry/coldAllowance.js'
 import { KeyRanking } from '../../../src/common/entry/keyRanking.js'
-import { computeShares, type SharedWorker, type Shares } from '../../../src/common/entry/placeShares.js'
+import { computeWorkerShares, type WorkerCapacity, type WorkerShares } from '../../../src/common/entry/workerShares.js'
 import { SeededRandom } from '@umberspar/base/common/random'
-import { RepeatWindow } from '../../../src/common/entry/repeatWindow.js'
+import { RetryBudget } from '../../../src/common/entry/retryBudget.js'
 
 const SEED = 20261202
 const REGIONS = new Map([['a-1', 'a'], ['a-2', 'a'], ['b-1', 'b'], ['b-2', 'b'], ['c-1', 'c']])
 
 const workersInput = fc.array(fc.record({ domain: fc.constantFrom(...REGIONS.keys()), slots: fc.integer({ min: 1, max: 16 }) }), { minLength: 1, maxLength: 40 })
-  .map((list): SharedWorker[] => list.map((worker, index) => ({ ...worker, id: `w-${index}` })))
+  .map((list): WorkerCapacity[] => list.map((worker, index) => ({ ...worker, id: `w-${index}` })))
 
 /** The cap of the users on what may change region within two seconds. */
 const MAX_SHIFT = 0.15
@@ -20,7 +20,7 @@
 const DOMAINS_PER_REGION = 2
 
 /** @returns the part of a region's requests that run in another region than before; both domains get the same traffic */
-function countMoved (workers: readonly SharedWorker[], from: string, before: ReadonlyMap<string, Shares>, after: ReadonlyMap<string, Shares>): number {
+function countMoved (workers: readonly WorkerCapacity[], from: string, before: ReadonlyMap<string, WorkerShares>, after: ReadonlyMap<string, WorkerShares>): number {
   const changes = new Map<string, number>()
   for (const [domain, region] of PAIRED_REGIONS) {
     if (region !== from) continue
@@ -36,7 +36,7 @@
 describe('what each VM works out alone', () => {
   it('shares of a domain add up to one and no worker is promised much more than its part', () => {
     fc.assert(fc.property(workersInput, (workers) => {
-      const shares = computeShares(workers, REGIONS)
+      const shares = computeWorkerShares(workers, REGIONS)
       const allSlots = workers.reduce((sum, { slots }) => sum + slots, 0)
       for (const byWorker of shares.values()) {
         const total = [...byWorker.values()].reduce((sum, share) => sum + share, 0)
@@ -57,8 +57,8 @@
     // 21 workers of a service on, that is below the users' cap of 0.15.
     const lists = fc.array(fc.constantFrom(...PAIRED_REGIONS.keys()), { minLength: 4, maxLength: 60 })
     fc.assert(fc.property(lists, (domains) => {
-      const workers = domains.map((domain, index): SharedWorker => ({ id: `w-${index}`, domain, slots: 4 }))
-      const [before, after] = [computeShares(workers, PAIRED_REGIONS), computeShares(workers.slice(1), PAIRED_REGIONS)]
+      const workers = domains.map((domain, index): WorkerCapacity => ({ id: `w-${index}`, domain, slots: 4 }))
+      const [before, after] = [computeWorkerShares(workers, PAIRED_REGIONS), computeWorkerShares(workers.slice(1), PAIRED_REGIONS)]
       const mostCarried = 1.05 * PAIRED_REGIONS.size / (DOMAINS_PER_REGION * workers.length)
       for (const region of new Set(PAIRED_REGIONS.values())) {
         const moved = countMoved(workers, region, before, after)
@@ -73,7 +73,7 @@
     // Each domain preferred its own workers, so that an object had a worker for either:
     // it was worked on anew twice, which takes three times as long and is late by itself.
     fc.assert(fc.property(fc.array(fc.constantFrom(...PAIRED_REGIONS.keys()), { minLength: 1, maxLength: 40 }), (domains) => {
-      const shares = computeShares(domains.map((domain, index) => ({ id: `w-${index}`, domain, slots: 4 })), PAIRED_REGIONS)
+      const shares = computeWorkerShares(domains.map((domain, index) => ({ id: `w-${index}`, domain, slots: 4 })), PAIRED_REGIONS)
       for (const region of new Set(PAIRED_REGIONS.values())) {
         const [first, second] = [...PAIRED_REGIONS].filter(([, of]) => of === region).map(([domain]) => new KeyRanking(shares.get(domain)!))
         for (let key = 0; key < 20; key++) assert.deepEqual(first!.rank(`${key}`), second!.rank(`${key}`))
@@ -108,7 +108,7 @@
     const requests = fc.array(fc.record({ node: fc.nat({ max: 199 }), at: fc.nat({ max: 30_000 }), isRepeat: fc.boolean() }), { minLength: 1, maxLength: 2_000 })
     fc.assert(fc.property(requests, fc.oneof(fc.integer({ min: 1, max: 12 }), fc.integer({ min: 13, max: 200 })), (events, count) => {
       const budget = { ratio: 0.2, windowMs: 10_000, slack: 60 }
-      const windows = Array.from({ length: count }, () => new RepeatWindow(budget, () => count))
+      const windows = Array.from({ length: count }, () => new RetryBudget(budget, () => count))
       const first: number[] = []
       const repeats: number[] = []
       for (const { node, at, isRepeat } of events.sort((left, right) => left.at - right.at)) {
@@ -133,7 +133,7 @@
     const budget = { ratio: 0.2, windowMs: 10_000, slack: 430 }
     const count = 195
     const perSecond = 107
-    const windows = Array.from({ length: count }, () => new RepeatWindow(budget, () => count))
+    const windows = Array.from({ length: count }, () => new RetryBudget(budget, () => count))
     const random = new SeededRandom(SEED)
     let sent = 0
     const asked = perSecond * budget.windowMs / 1_000
