--- a/packages/steering/src/common/entry/accountTable.ts
+++ b/packages/steering/src/common/entry/accountTable.ts
@@ -1,12 +1,12 @@
 /** Finds client accounts by the digests of their keys, and the regions that may serve their requests. */
 import type { AccountPolicy, RoutePolicy } from './steeringDocument.js'
 
-/** The client accounts of one version of the configuration, ready for look-ups. */
+/** The client accounts of one version of the configuration, indexed for lookups. */
 export class AccountTable {
   private readonly accountsByDigest = new Map<string, AccountPolicy>()
   private readonly accountsByName = new Map<string, AccountPolicy>()
 
-  /** @param accounts as configured */
+  /** @param accounts the configured accounts */
   constructor (accounts: readonly AccountPolicy[]) {
     for (const account of accounts) {
       this.accountsByName.set(account.name, account)
@@ -15,7 +15,7 @@
   }
 
   /**
-   * @param digest of a caller's key
+   * @param digest digest of a caller's key
    * @returns the account that holds the key; undefined if none does
    */
   findByDigest (digest: string): AccountPolicy | undefined {
@@ -32,11 +32,11 @@
 }
 
 /**
- * Where a request may be served when its route and its account both have homes:
- * only where both allow it.
+ * Computes the regions that may serve a request. When its route and its account both have home
+ * regions, both must allow a region.
  * @param route the request's route
  * @param account the caller's account, if it has one
- * @returns the regions, empty if all may serve it; undefined if none may
+ * @returns the regions, empty if all may serve the request; undefined if none may
  */
 export function mergeHomes ({ homeRegions: routeRegions }: RoutePolicy, account: AccountPolicy | undefined): readonly string[] | undefined {
   const accountRegions = account?.homeRegions ?? []
--- a/packages/steering/src/common/entry/admission.ts
+++ b/packages/steering/src/common/entry/admission.ts
@@ -1,41 +1,45 @@
 /**
- * Whether a request is offered to the worker chosen for it, or refused at once.
+ * Admission control: whether a request is sent to the worker chosen for it or rejected at
+ * once.
  *
- * The load pattern: more requests than there are slots, for as long as a burst, a
- * lost region or callers that repeat at once last. What is offered then only makes
- * queues longer, and answers that come late are worth a fifth to their callers.
+ * Guards against overload, when a burst, the loss of a region or immediate client retries
+ * bring more requests than there are slots. Admitting them all would only make the queues
+ * longer, and answers that come late have a fifth of their value to callers.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { Deadline } from '@umberspar/base/common/deadline'
 import type { Choice } from './chooseUpstream.js'
 
-/** What a request is judged by, beside its choice. */
+/** The properties of a request, beside its chosen worker, that decide on its admission. */
 export interface AdmissionRequest {
   readonly now: Instant
-  /** After that an answer is worth nothing. */
+  /** An answer after this instant has no value. */
   readonly latestAt: Deadline
-  /** Whether enough answers came to know how long the work takes. */
+  /** Whether enough answers were observed to estimate the service time. */
   readonly isLearned: boolean
-  /** Whether the request was sent to a worker before; then a slot has been taken from others already. */
+  /** Whether the request was already sent to a worker, and so has already used a slot. */
   readonly wasSent: boolean
-  /** How busy the service is: 0 with slots to spare, 1 with none. */
+  /** Saturation of the service, from 0 (free slots) to 1 (no free slots). */
   readonly busyness: number
 }
 
-/** Below this expected worth, as a part of a timely answer, a request only takes a slot from others. */
+/** A request with a score below this fraction of an on-time answer's value only takes a slot from others. */
 const MIN_SCORE = 0.02
 /**
- * In a service without free slots, requests below this chance of an answer in time
- * are refused. All that is sent there takes the same slots; with queues short the
- * same number of answers comes in time, where with long ones all come late, for a
- * fifth of the worth. An object that is not at hand yet does not count against its
- * request: it will be at hand for the next.
+ * In a saturated service, requests with a lower probability of an answer on time are rejected.
+ * Whatever is sent takes the same slots: with short queues as many answers as possible come on
+ * time, while with long queues all come late, for a fifth of the value. The probability
+ * assumes a cache hit, so a request is not rejected for an object that is not cached yet; the
+ * next request for the object will hit the cache.
  */
 const MIN_ON_TIME_PROBABILITY = 0.35
-/** From this busyness on a service counts as without free slots. */
+/** Saturation from which a service counts as without free slots. */
 const FULL_SATURATION = 0.9
 
-/** Before anything is learned only the wait counts: it would never be learned that the work takes less than is taken for granted. */
+/**
+ * Until the service time is known, only the wait counts. Otherwise an initial estimate that is
+ * too high would reject all requests and never be corrected.
+ */
 function isTooLate ({ value: score, expectedMs, waitMs }: Choice, { now, latestAt: deadline, isLearned: hasEnoughSamples }: AdmissionRequest): boolean {
   return score < MIN_SCORE && now + (hasEnoughSamples ? expectedMs : waitMs) > deadline
 }
@@ -45,9 +49,9 @@
 }
 
 /**
- * @param choice the best worker for the request
+ * @param choice the best candidate for the request
  * @param request the request
- * @returns whether it is offered there; else it is refused
+ * @returns whether to send the request to the candidate rather than reject it
  */
 export function shouldOffer (choice: Choice, request: AdmissionRequest): boolean {
   return !isTooLate(choice, request) && !isOverloaded(choice, request)
--- a/packages/steering/src/common/entry/applyRecord.ts
+++ b/packages/steering/src/common/entry/applyRecord.ts
@@ -1,19 +1,19 @@
-/** Takes records over into the view, by their kind. */
+/** Applies records to the view, by their kind. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { EntryView } from './entryView.js'
 import { type RecordChange, RecordKind, type SteeringRecord } from './records.js'
 import { ViewChange, type ViewEvent } from './viewEvent.js'
 
 /**
- * @param view what is brought up to date
- * @param change what stands there now and what stood there before
- * @param now the present
- * @returns what changed
+ * @param view the view to update
+ * @param change the present and the previous record
+ * @param now the current time
+ * @returns the changes of the view
  */
 export function applyRecord (view: EntryView, { record, previous }: RecordChange, now: Instant): ViewEvent[] {
   const kind = (record ?? previous)?.kind
   if (kind === undefined) return []
-  // A newer entry VM may pass on kinds that this one does not know.
+  // A newer entry VM may pass on kinds of records that this one does not know.
   const apply: RecordApplier | undefined = APPLIERS[kind]
   return apply?.(view, record, previous, now) ?? []
 }
--- a/packages/steering/src/common/entry/cacheAffinity.ts
+++ b/packages/steering/src/common/entry/cacheAffinity.ts
@@ -1,23 +1,24 @@
 /**
- * Which objects this entry VM has lately had handled by which worker. Workers keep
- * a few dozen objects; what this VM sent long ago may have been pushed out by
- * others, so an entry is believed for a while only.
+ * Remembers which worker recently handled which object for this entry VM.
+ *
+ * Workers cache a few dozen objects and evict them for those of other VMs' requests, so an
+ * entry counts for a short time only.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 
-/** How long a worker is believed to keep an object, in milliseconds. */
+/** How long a worker is assumed to keep an object cached after a request. */
 const CACHED_SPAN_MS = 12_000
-/** Objects remembered at most; the oldest go first. About 150 bytes each. */
+/** Limit on remembered objects, about 150 bytes each; the oldest are discarded first. */
 const MAX_OBJECTS = 20_000
 
-/** The memory of one service. */
+/** The recently handled objects of one service. */
 export class CacheAffinity {
   private readonly lastUsesByKey = new Map<string, Map<string, Instant>>()
 
   /**
-   * @param key the object
-   * @param workerId the worker that answered for it
-   * @param now the present
+   * @param key the object's key
+   * @param workerId the worker that answered the request
+   * @param now the current time
    */
   record (key: string, workerId: string, now: Instant): void {
     let lastUses = this.lastUsesByKey.get(key)
@@ -33,17 +34,17 @@
   }
 
   /**
-   * @param key the object
+   * @param key the object's key
    * @param workerId a worker
-   * @param now the present
-   * @returns whether the worker is believed to have the object at hand
+   * @param now the current time
+   * @returns whether the worker is assumed to have the object cached
    */
   has (key: string, workerId: string, now: Instant): boolean {
     const at = this.lastUsesByKey.get(key)?.get(workerId)
     return at !== undefined && now - at <= CACHED_SPAN_MS
   }
 
-  /** @param workerId a worker that has left, or lost what it kept */
+  /** @param workerId a worker that left or lost its cache */
   removeWorker (workerId: string): void {
     for (const lastUses of this.lastUsesByKey.values()) lastUses.delete(workerId)
   }
--- a/packages/steering/src/common/entry/chooseEntries.ts
+++ b/packages/steering/src/common/entry/chooseEntries.ts
@@ -1,25 +1,25 @@
 /**
- * Which entry VMs callers of a failure domain are told to use: those of their own
- * domain, else of their region, else all. Callers pick among the names with equal
- * chance, whatever a VM can take: the smallest is busy for a tenth of its processor
- * share where it was measured (docs/MEASUREMENTS.md).
+ * Chooses the entry VMs that callers of a failure domain are told to use: those of their own
+ * domain, else of their region, else all. Callers pick among them with equal probability
+ * whatever a VM's capacity; the smallest VM used a tenth of its processor share when this was
+ * measured (docs/MEASUREMENTS.md).
  */
 import type { EntryNode } from './records.js'
 
-/** Callers use this many names at most. */
+/** Callers use at most this many addresses. */
 const MAX_ADDRESSES = 64
 
-/** Where callers are. */
+/** Location of the callers. */
 export interface CallerLocation {
   readonly region: string
   readonly domain: string
 }
 
 /**
- * @param nodes the entry VMs that serve
- * @param location where the callers are
+ * @param nodes the entry VMs that serve requests
+ * @param location the callers' location
  * @param regionByDomain all failure domains with their regions
- * @returns addresses, the nearest VMs only
+ * @returns the addresses of the nearest VMs
  */
 export function chooseEntries (nodes: Iterable<EntryNode>, location: CallerLocation, regionByDomain: ReadonlyMap<string, string>): string[] {
   const all = [...nodes].sort((left, right) => (left.name < right.name ? -1 : 1))
--- a/packages/steering/src/common/entry/chooseUpstream.ts
+++ b/packages/steering/src/common/entry/chooseUpstream.ts
@@ -1,8 +1,10 @@
 /**
- * The choice of a worker for one request, in one place: what the request is
- * expected to be worth at each candidate (its way, its wait, its work with or
- * without the object at hand, against the route's goal and time limit; the chance
- * that the worker fails it), less what its bytes cost on the way.
+ * Chooses the upstream worker for one request.
+ *
+ * Each candidate gets a score: the expected value of its answer, less the costs of reaching
+ * it. The expected value follows from the round trip, the wait for a slot and the service time
+ * with and without a cached object, compared with the route's latency goal and the request's
+ * deadline, and from the probability that the worker fails the request.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { Deadline } from '@umberspar/base/common/deadline'
@@ -10,91 +12,94 @@
 import { HandState } from './handChance.js'
 import type { UpstreamTracker } from './upstreamTracker.js'
 
-/** What bytes cost, in parts of the worth of one request answered in time, for each kilobyte. */
+/** Cost of transferring one kilobyte, as a fraction of the value of one request answered on time. */
 export interface ByteCosts {
-  /** To a worker in another failure domain of the same region. */
+  /** To or from a worker in another failure domain of the same region. */
   readonly otherDomain: number
-  /** To a worker in another region. */
+  /** To or from a worker in another region. */
   readonly otherRegion: number
 }
 
-/** One worker that may get the request. */
+/** A worker that the request may be sent to. */
 export interface Candidate {
   readonly tracker: UpstreamTracker
   readonly proximity: Proximity
-  /** There and back, in milliseconds. */
+  /** Network round trip to the worker, in milliseconds. */
   readonly roundTripMs: number
-  /** What is known of the request's object at the worker. */
+  /** What this VM knows about the worker's cache and the request's object. */
   readonly hand: HandState
-  /** The chance that the worker has it at hand, 0 to 1. */
+  /** Probability that the worker has the object cached, 0 to 1. */
   readonly handChance: number
-  /** Work on an object that is not at hand, the worker's own speed aside, in milliseconds. */
+  /** Service time on a cache miss at a worker of normal speed, in milliseconds. */
   readonly missServiceTimeMs: number
-  /** Work on an object that is at hand, in milliseconds. */
+  /** Service time on a cache hit at a worker of normal speed, in milliseconds. */
   readonly hitServiceTimeMs: number
-  /** Mean work of the service's requests, for those that wait before this one, in milliseconds. */
+  /** Service time assumed for each request queued ahead of this one, in milliseconds. */
   readonly meanServiceTimeMs: number
-  /** Its place in the ranking for the request's object, 0 the first. */
+  /** Position in the key's worker ranking, 0 for the first. */
   readonly rank: number
 }
 
-/** What the request needs. */
+/** The request and the state of its service, as far as the choice depends on them. */
 export interface Need {
   readonly now: Instant
-  /** Until when an answer is worth most. */
+  /** An answer before this instant has its full value. */
   readonly goalAt: Deadline
-  /** After that an answer is worth nothing. */
+  /** An answer after this instant has no value. */
   readonly latestAt: Deadline
-  /** Of request and answer together. */
+  /** Size of the request and the expected answer together. */
   readonly bytes: number
-  /** How busy the service is: 0 with slots to spare, 1 with none. */
+  /** Saturation of the service, from 0 (free slots) to 1 (no free slots). */
   readonly busyness: number
 }
 
-/** The candidate chosen, with what spoke for it. */
+/** A candidate with the estimates that its score is based on. */
 export interface Choice {
   readonly candidate: Candidate
-  /** Expected time until the answer, in milliseconds. */
+  /** Expected time until the answer arrives, in milliseconds. */
   readonly expectedMs: number
   /** Expected wait for a slot, in milliseconds. */
   readonly waitMs: number
-  /** Expected worth less cost; the higher the better. */
+  /** Expected value less costs; the highest score wins. */
   readonly value: number
-  /** The chance of an answer in time if the worker had the object at hand: what its queue alone leaves. */
+  /**
+   * Probability of an answer before the goal if the worker has the object cached, so that only
+   * the round trip, the queue and the worker's speed count.
+   */
   readonly onTimeProbabilityOnHit: number
 }
 
 /**
- * What a late answer is worth beside one in time. The operators' sheets give a
- * fifth; the order of candidates hardly depends on it.
+ * Value of an answer after the goal but before the deadline, relative to one on time. The
+ * operators' specification sets a fifth; the order of candidates hardly depends on it.
  */
 const LATE_VALUE_RATIO = 0.2
-/** Answers spread around their expectation by about this part of their work. */
+/** Spread of service times around their mean. */
 const SERVICE_TIME_SPREAD_RATIO = 0.12
-/** The same for the wait, of which a VM sees only its own requests and what workers last told. */
+/** Spread of queue waits around their estimate: a VM knows only its own requests and the load that workers reported last. */
 const WAIT_SPREAD_RATIO = 0.35
-/** Worth lost for each millisecond in time: of two that answer in time the quicker leaves more room for others. */
+/** Score lost per millisecond of latency. Between two answers on time, the faster one frees its slot sooner. */
 const LATENCY_COST_PER_MS = 0.0002
 /**
- * Worth lost for each place in the ranking. Above what the bytes of a usual answer
- * cost between regions: else all objects of a region with few workers would go to
- * these, more than they can keep at hand, and each would be worked on anew each time.
+ * Score lost per position in the key's ranking. It must exceed the transfer cost of a typical
+ * answer between regions. Otherwise a region with few workers would send them all of its
+ * objects, more than they can cache, and each request would be a cache miss.
  */
 const COST_PER_RANK = 0.08
 /**
- * Worth lost by handing an object to a worker that does not have it at hand while
- * another would: the work takes three times as long and pushes out another object.
- * With free slots this hurts nobody; without any it takes the place of three requests.
+ * Score lost by sending a request to a worker without the object cached while another one has
+ * it: a miss takes three times as long and evicts another object. This does no harm while
+ * slots are free; in a saturated service it takes the slot time of three requests.
  */
 const IDLE_MISS_COST = 0.1
 const SATURATED_MISS_COST = 0.6
 /**
- * Worth added for a worker that this VM has sent nothing yet, if it is the first in
- * the ranking: it keeps no objects, so by their expected time all requests would
- * stay where their objects are, and a worker added for more room would give none.
+ * Score added for a worker that ranks first for the key but has never received a request from
+ * this VM. Its cache is empty, so by latency alone all requests would stay with the workers
+ * that have their objects cached, and a newly added worker would get no traffic.
  */
 const UNUSED_WORKER_BONUS = 1
-/** How much longer a cold worker takes. */
+/** How many times longer a worker takes during its cold start. */
 const COLD_WORKER_SLOWDOWN_RATIO = 2
 const BYTES_PER_KB = 1_000
 
@@ -104,13 +109,13 @@
   [Proximity.OtherRegion]: ({ otherRegion }) => otherRegion
 }
 
-/** One way in which a request may go. */
+/** Expected latency for one outcome of the cache lookup, a hit or a miss. */
 interface LatencyEstimate {
   readonly waitMs: number
   readonly expectedMs: number
 }
 
-/** The chance that an answer expected at one instant comes before another, by a logistic curve. */
+/** Probability that an answer expected after `expectedMs` arrives within `limitMs`, by a logistic curve. */
 function estimateOnTimeProbability ({ waitMs, expectedMs }: LatencyEstimate, limitMs: number): number {
   const spreadMs = 1 + SERVICE_TIME_SPREAD_RATIO * (expectedMs - waitMs) + WAIT_SPREAD_RATIO * waitMs
   return 1 / (1 + Math.exp((expectedMs - limitMs) / spreadMs))
@@ -128,9 +133,9 @@
 
 /**
  * @param candidate a worker
- * @param context the request
- * @param costs what bytes cost
- * @returns what the request is expected to be worth there
+ * @param context the request and the state of its service
+ * @param costs transfer costs
+ * @returns the candidate with its score
  */
 export function estimateChoice (candidate: Candidate, context: Need, costs: ByteCosts): Choice {
   const { tracker, proximity } = candidate
@@ -154,10 +159,10 @@
 }
 
 /**
- * @param candidates the workers that may get the request
- * @param context the request
- * @param costs what bytes cost
- * @returns the best of them, or undefined if there is none
+ * @param candidates the workers that the request may be sent to
+ * @param context the request and the state of its service
+ * @param costs transfer costs
+ * @returns the candidate with the highest score, or undefined if there are none
  */
 export function chooseUpstream (candidates: readonly Candidate[], context: Need, costs: ByteCosts): Choice | undefined {
   let best: Choice | undefined
--- a/packages/steering/src/common/entry/coldAllowance.ts
+++ b/packages/steering/src/common/entry/coldAllowance.ts
@@ -1,31 +1,32 @@
 /**
- * How many requests this entry VM may send to a cold worker. A cold worker crashes
- * when all entry VMs together send it much more than it bears; each therefore has
- * a fixed part of that, found without talk: too small a whole to give each VM one
- * request a second goes to the VMs that rank highest for the worker.
+ * How many requests this entry VM may send to a worker during its cold start.
+ *
+ * A cold worker crashes when all entry VMs together send it much more than its limit, so each
+ * has a fixed part of the limit that it computes without coordination. If the limit doesn't
+ * give each VM one request a second, it goes to the VMs that rank highest for the worker.
  */
 import { rankByRendezvous } from '../lookup/rendezvous.js'
 
-/** A cold worker's requests are counted over any span of this length. */
+/** Length of the sliding window in which a cold worker's requests are counted. */
 export const COLD_WINDOW_MS = 1_000
 /**
- * The part of what a cold worker bears that is given out. The rest covers entry
- * VMs that know of another number of VMs for the moment, and requests that are on
- * their way for unequal times.
+ * Fraction of a cold worker's limit that is allotted. The rest covers entry VMs that have a
+ * different list of VMs for a moment, and requests that arrive later or sooner than others
+ * sent at the same time.
  */
 const ALLOTTED_RATIO = 0.7
 
-/** What operators tolerate beyond a cold worker's own figure. */
+/** The configured tolerance beyond a cold worker's limit. */
 export interface ColdTolerance {
-  /** Multiplies the requests a second that it bears. */
+  /** Factor on the limit. */
   readonly factor: number
-  /** Is added, in requests a second. */
+  /** Addition to the limit, in requests per second. */
   readonly slack: number
 }
 
 /**
- * @param perSecond requests a second that the worker bears
- * @param tolerance what may go beyond
+ * @param perSecond limit of the worker, in requests per second
+ * @param tolerance the configured tolerance beyond the limit
  * @param workerId the worker
  * @param nodes the names of all entry VMs, this one included
  * @param node this entry VM's name
--- a/packages/steering/src/common/entry/decideAccess.ts
+++ b/packages/steering/src/common/entry/decideAccess.ts
@@ -1,55 +1,56 @@
 /**
- * Whether a request may run by records that may be stale.
+ * Decides whether a request may run when the records may be stale.
  *
- * A VM that is cut off does not hear that a key was taken away or that homes have
- * changed, and no request shows it that it is cut off. So requests with a key, and those
- * that only some regions may serve, run only under a freshness lease: while the records
- * are proven to have been the newest a short time ago. Requests without either run by
- * records of any age. What stale records do not know is not denied but refused.
+ * A VM that is cut off doesn't learn that a key was revoked or that home regions have changed,
+ * and no request tells it that it is cut off. So requests with a key, and those restricted to
+ * home regions, run only under a freshness lease: while it is proven that the records were
+ * current a short time ago. Other requests run whatever the age of the records. A key or route
+ * that is missing from stale records is not reported as unknown; the request is refused
+ * because the records are stale.
  */
 import type { AccountTable } from './accountTable.js'
 import type { AccountPolicy, RoutePolicy } from './steeringDocument.js'
 
-/** How old the proof of the records may be. */
+/** Limits on the age of the freshness proof. */
 export interface AccessBounds {
-  /** For a request to run, in milliseconds. */
+  /** Limit for running a request, in milliseconds. */
   readonly runWithinMs: number
-  /** For a key or a route to be called unknown, in milliseconds. */
+  /** Limit for reporting a key or a route as unknown, in milliseconds. */
   readonly denyWithinMs: number
-  /** For a request to run that only some regions may serve, in milliseconds. */
+  /** Limit for running a request restricted to home regions, in milliseconds. */
   readonly homeWithinMs: number
 }
 
-/** What is decided by. */
+/** The facts that the decision depends on. */
 export interface AccessRequest {
-  /** Undefined where callers need no keys. */
+  /** The client accounts; undefined where callers need no keys. */
   readonly accounts: AccountTable | undefined
   readonly route: RoutePolicy
-  /** Digest of the caller's key; undefined if it sent none that can be read. */
+  /** Digest of the caller's key; undefined if it sent none or an unreadable one. */
   readonly keyDigest: string | undefined
-  /** How long ago the records were surely the newest, in milliseconds. */
+  /** Time since the records were last proven to be current, in milliseconds. */
   readonly proofAgeMs: number
 }
 
-/** How it is decided. */
+/** Outcome of the decision. */
 export enum AccessEnd {
   Allowed = 'allowed',
-  /** No account holds the key, by records that are new enough to say so. */
+  /** No account holds the key, and the records are recent enough to say so. */
   KeyUnknown = 'key-unknown',
-  /** The records are too old to tell. */
+  /** The records are too old to decide. */
   RecordsStale = 'records-stale'
 }
 
-/** What was decided. */
+/** The decision. */
 export interface Access {
   readonly end: AccessEnd
-  /** The caller's account; undefined where the route needs none or it is not known. */
+  /** The caller's account; undefined where the route needs none or the account is not known. */
   readonly account?: AccountPolicy | undefined
 }
 
 /**
- * @param request what is decided by
- * @param bounds how old the proof of the records may be
+ * @param request the request
+ * @param bounds limits on the age of the freshness proof
  * @returns whether the request may run, and for which account
  */
 export function decideAccess (request: AccessRequest, bounds: AccessBounds): Access {
--- a/packages/steering/src/common/entry/documentParts.ts
+++ b/packages/steering/src/common/entry/documentParts.ts
@@ -1,20 +1,20 @@
 /**
- * The configuration in parts that change alone: each route, service and client account,
- * with the store's revision at which this VM saw it last change.
+ * The configuration in parts that change independently: each route, service and client
+ * account, with the store's revision at which this VM saw it last change.
  *
- * Guards against this failure: told whole, a configuration of a thousand routes fills
- * the links of the VMs that tell others for seconds at each change, and the news of
- * workers and the requests on these links wait behind it. A VM that knows the
- * configuration as of some revision is told the parts that changed after that.
+ * Guards against congested links. Sent in full, a configuration of a thousand routes occupies
+ * the links of the VMs that update others for seconds at each change, and worker updates and
+ * requests on these links are delayed. So a VM that knows the configuration as of some
+ * revision gets only the parts that changed after that.
  */
 import { computeHash64 } from '../hash/xxHash.js'
 import type { AccountPolicy, ClientLimits, RoutePolicy, ServicePolicy, SteeringDocument } from './steeringDocument.js'
 
-/** Removed parts that are remembered; a VM that may not have heard of a forgotten one is told everything. */
+/** Limit on remembered removals; a VM that may have missed a discarded one gets a full update. */
 const MAX_TOMBSTONES = 8_192
 const HEXADECIMAL_RADIX = 16
 
-/** What a part is of. */
+/** The kinds of parts. */
 export enum PartKind {
   Route = 'route',
   Service = 'service',
@@ -23,32 +23,32 @@
 
 type PartValue = RoutePolicy | ServicePolicy | AccountPolicy
 
-/** Names by kind; parts of one name replace each other. */
-const GET_PART_NAME: Readonly<Record<PartKind, (value: never) => string>> = {
+/** Functions that return a part's name, by kind; parts of one name replace each other. */
+const PART_NAME_GETTERS: Readonly<Record<PartKind, (value: never) => string>> = {
   [PartKind.Route]: ({ host, prefix }: RoutePolicy) => `${host} ${prefix}`,
   [PartKind.Service]: ({ name }: ServicePolicy) => name,
   [PartKind.Account]: ({ name }: AccountPolicy) => name
 }
 
-/** What a VM that knows an earlier configuration is told of a later one. */
+/** The changes that lead from an earlier configuration to a later one. */
 export interface DocumentDelta {
-  /** Where the configuration lies in the store. */
+  /** The configuration's key in the store. */
   readonly key: string
-  /** The store's revision of this configuration. */
+  /** The store's revision of the later configuration. */
   readonly revision: number
   readonly version: number
   readonly limits: ClientLimits
-  /** Whether callers need keys; there may be none that holds. */
+  /** Whether callers need keys; there may be no valid key. */
   readonly hasAccounts: boolean
-  /** What changed or came, by kind. */
+  /** Parts that were added or changed, by kind. */
   readonly written: Readonly<Record<PartKind, readonly PartValue[]>>
-  /** Names of what went, by kind. */
+  /** Names of removed parts, by kind. */
   readonly removed: Readonly<Record<PartKind, readonly string[]>>
-  /** Of the whole configuration, to find out whether it was put together rightly. */
+  /** Digest of the whole later configuration, to check whether the delta was applied to the right base. */
   readonly digest: string
 }
 
-/** What stands beside the parts. */
+/** The configuration's properties beside its parts. */
 interface DocumentHeader {
   readonly version: number
   readonly limits: ClientLimits
@@ -60,9 +60,9 @@
   readonly name: string
   readonly value: PartValue
   readonly text: string
-  /** Its share of the digest. */
+  /** The part's contribution to the digest. */
   readonly hash: bigint
-  /** The store's revision at which it last changed, or a later one. */
+  /** The store's revision at which the part last changed, or a later one. */
   readonly revision: number
 }
 
@@ -77,7 +77,7 @@
 }
 
 function getPartName (kind: PartKind, value: PartValue): string {
-  return GET_PART_NAME[kind](value as never)
+  return PART_NAME_GETTERS[kind](value as never)
 }
 
 function createPart (kind: PartKind, value: PartValue, revision: number): Part {
@@ -101,7 +101,7 @@
   return { version, limits, hasAccounts: accounts !== undefined }
 }
 
-/** The same whatever the order of the parts, since VMs put them together in different ones. */
+/** Computes the digest, which does not depend on the order of the parts, since each VM has them in a different one. */
 function computeDigest ({ version, limits, hasAccounts }: DocumentHeader, parts: Iterable<Part>): string {
   let sum = computeHash(JSON.stringify([version, limits, hasAccounts]))
   for (const { hash } of parts) sum ^= hash
@@ -118,13 +118,13 @@
 export class DocumentParts {
   private parts = new Map<string, Part>()
   private readonly tombstones = new Map<string, PartTombstone>()
-  /** Removals up to this revision may have been forgotten. */
+  /** Removals up to this revision may have been discarded. */
   private discardedRevision = 0
 
   /**
-   * Takes over a configuration that was read whole.
+   * Takes over a complete configuration.
    * @param document the configuration
-   * @param revision at which it was written
+   * @param revision the store's revision at which it was written
    */
   putDocument (document: SteeringDocument, revision: number): void {
     const parts = new Map<string, Part>()
@@ -142,8 +142,9 @@
   }
 
   /**
-   * @param change what another VM tells
-   * @returns the configuration that it leads to; undefined if what is known here is not what it was told for
+   * @param delta changes from a peer
+   * @returns the later configuration; undefined if the delta does not fit the configuration
+   *   known here
    */
   mergeDelta ({ version, limits, hasAccounts, written, removed, revision, digest }: DocumentDelta): SteeringDocument | undefined {
     const parts = new Map(this.parts)
@@ -166,9 +167,10 @@
   }
 
   /**
-   * Notes that what a change holds changed with it, though it may have stood here already:
-   * it may have changed and changed back since a VM that learns from this one heard of it.
-   * @param change from which the configuration that was put last was put together
+   * Marks the parts of a delta as changed at its revision, even if they are the same here:
+   * they may have changed and changed back since a VM that replicates from this one last got
+   * an update.
+   * @param delta the delta from which the configuration that was put last was built
    */
   markChanged ({ revision, written, removed }: DocumentDelta): void {
     for (const kind of Object.values(PartKind)) {
@@ -182,9 +184,9 @@
 
   /**
    * @param document the newest configuration, the one that was put last
-   * @param location where it lies in the store, and at which revision
-   * @param knownRevision the revision that the VM which is told knows
-   * @returns what changed after that; undefined if it has to be told everything
+   * @param location the configuration's key and revision in the store
+   * @param knownRevision the revision up to which the peer knows everything
+   * @returns the changes after that revision; undefined if the peer needs a full update
    */
   buildDeltaAfter (document: SteeringDocument, location: { readonly key: string, readonly revision: number }, knownRevision: number): DocumentDelta | undefined {
     if (knownRevision < this.discardedRevision) return undefined
--- a/packages/steering/src/common/entry/domainDistances.ts
+++ b/packages/steering/src/common/entry/domainDistances.ts
@@ -1,20 +1,20 @@
 /**
- * How far the failure domains are from this entry VM, learned from how long new
- * connections take to open. The least of the latest openings counts: a busy worker
- * or a lost packet makes one opening slow, never fast.
+ * Estimates the round trip times from this entry VM to the failure domains by how long new
+ * connections take to open. The minimum of recent connections counts: a busy worker or a lost
+ * packet makes a connection slower, never faster.
  */
 import { classifyProximity, Proximity } from './proximity.js'
 
-/** Before any connection was opened, in milliseconds there and back. */
+/** Round trip times assumed before the first connection. */
 const INITIAL_ROUND_TRIP_MS: Readonly<Record<Proximity, number>> = {
   [Proximity.SameDomain]: 1,
   [Proximity.SameRegion]: 2,
   [Proximity.OtherRegion]: 60
 }
-/** How much a slower opening lifts what is known; a route that became longer is known after some dozen. */
+/** Weight of a slower connection. After a route has become longer, about a dozen connections adapt the estimate. */
 const RISE_SMOOTHING_FACTOR = 0.05
 
-/** Distances by failure domain. */
+/** Round trip times by failure domain. */
 export class DomainDistances {
   private readonly roundTripMsByDomain = new Map<string, number>()
 
@@ -26,7 +26,7 @@
 
   /**
    * @param other a failure domain
-   * @returns how near it is
+   * @returns its proximity to this VM's failure domain
    */
   getProximity (other: string): Proximity {
     return classifyProximity(this.domain, other, this.regionByDomain)
@@ -34,7 +34,7 @@
 
   /**
    * @param other a failure domain
-   * @returns the way there and back, in milliseconds
+   * @returns the round trip time, in milliseconds
    */
   getRoundTrip (other: string): number {
     return this.roundTripMsByDomain.get(other) ?? INITIAL_ROUND_TRIP_MS[this.getProximity(other)]
@@ -42,7 +42,7 @@
 
   /**
    * @param other the failure domain of a worker
-   * @param connectMs how long a new connection to it took
+   * @param connectMs how long a new connection to the worker took to open, in milliseconds
    */
   record (other: string, connectMs: number): void {
     const previousMs = this.roundTripMsByDomain.get(other)
--- a/packages/steering/src/common/entry/entryView.ts
+++ b/packages/steering/src/common/entry/entryView.ts
@@ -1,7 +1,7 @@
 /**
- * All that an entry VM decides by: the configuration in force, the workers and
- * what was seen of them, evacuated failure domains, the other entry VMs. It is
- * brought up to date from the records, one change at a time.
+ * An entry VM's view of the deployment, on which all its decisions are based: the
+ * configuration in force, the workers and what was observed of them, evacuated failure
+ * domains, and the other entry VMs. It is updated from the records, one change at a time.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline } from '@umberspar/base/common/deadline'
@@ -19,20 +19,20 @@
 import { type UpstreamChange, ViewChange, type ViewEvent } from './viewEvent.js'
 import { ServiceTimeEstimate } from './serviceTimeEstimate.js'
 
-/** A share's keeper, and the revision of its claim. */
+/** The holder of a quota share, and the revision of its claim. */
 export interface ShareClaim {
   readonly keeper: ShareKeeper
   readonly revision: number
 }
 
-/** A record's value, with what it takes to replace or remove the record. */
+/** A record's value, with the key and revision needed to replace or remove the record. */
 export interface StoredValue<T> {
   readonly key: string
   readonly revision: number
   readonly value: T
 }
 
-/** What does not change while the process lives. */
+/** Properties of this VM and settings that don't change while the process runs. */
 export interface ViewContext extends Omit<PoolContext, 'listNodes' | 'listSendingNodes'> {
   readonly budget: RetryBudgetSettings
 }
@@ -42,18 +42,18 @@
   readonly pools = new Map<string, WorkerPool>()
   readonly nodes = new Map<string, EntryNode>()
   readonly evacuated = new Set<string>()
-  /** Who keeps which share of the quotas, by the share's name. */
+  /** Claims of quota shares, by the share's name. */
   readonly shares = new Map<string, ShareClaim>()
-  /** What entry VMs report of crashes, by their names. */
+  /** Reports of crashed workers, by the reporting entry VM's name. */
   readonly crashReports = new Map<string, StoredValue<CrashReports>>()
-  /** By the request's digest. */
+  /** Quarantined requests, by the request's digest. */
   readonly quarantines = new Map<string, StoredValue<Quarantine>>()
   private readonly trackers = new Map<string, UpstreamTracker>()
   private readonly retryBudgets = new Map<string, RetryBudget>()
   private readonly serviceTimesByRoute = new Map<string, ServiceTimeEstimate>()
-  /** Sorted; undefined after a change, so that a start with hundreds of VMs sorts them once. */
+  /** Sorted names of the entry VMs; undefined after a change, so that a start with hundreds of VMs sorts them once. */
   private nodeNames: readonly string[] | undefined
-  /** The same with their failure domains. */
+  /** The same entry VMs with their failure domains. */
   private sendingNodes: readonly SendingNode[] | undefined
   private currentDocument: SteeringDocument | undefined
   private routeTable: RouteTable | undefined
@@ -61,7 +61,7 @@
   private policiesByService: ReadonlyMap<string, ServicePolicy> = new Map()
   parts = new WeightedRoundRobin()
 
-  /** @param context where this VM is and what it was set to */
+  /** @param context properties of this VM and settings */
   constructor (private readonly context: ViewContext) {}
 
   /** @returns the configuration in force; undefined before one was read */
@@ -74,12 +74,12 @@
     return this.accountTable
   }
 
-  /** @returns all workers known */
+  /** @returns all known workers */
   listTrackers (): Iterable<UpstreamTracker> {
     return this.trackers.values()
   }
 
-  /** @returns how many entry VMs there are, this one included */
+  /** @returns the number of entry VMs, this one included */
   countNodes (): number {
     return this.listNodeNames().length
   }
@@ -109,7 +109,7 @@
 
   /**
    * @param service a service
-   * @returns the repeats that may be sent for it
+   * @returns the budget for its retries
    */
   readRepeats (service: string): RetryBudget {
     let retryBudget = this.retryBudgets.get(service)
@@ -120,7 +120,7 @@
     return retryBudget
   }
 
-  /** @returns the repeats of each service that had requests */
+  /** @returns the retry budgets of the services that had requests */
   listRepeats (): Iterable<readonly [string, RetryBudget]> {
     return this.retryBudgets
   }
@@ -128,7 +128,7 @@
   /**
    * @param route a route
    * @param service the service that the request goes to
-   * @returns how long its requests take there
+   * @returns the service times of the route's requests there
    */
   readWork (route: RoutePolicy, service: string): ServiceTimeEstimate {
     const name = `${route.name} ${service}`
@@ -141,10 +141,10 @@
   }
 
   /**
-   * Takes one record over, or its disappearance.
-   * @param change what stands there now and what stood there before
-   * @param now the present
-   * @returns what changed
+   * Applies the writing or removal of one record.
+   * @param change the present and the previous record
+   * @param now the current time
+   * @returns the changes of the view
    */
   apply (change: RecordChange, now: Instant): ViewEvent[] {
     return applyRecord(this, change, now)
@@ -162,8 +162,9 @@
 
   /**
    * @param registration a worker's registration
-   * @param now the present
-   * @returns what it changes; undefined if it is of an earlier life than the worker's present one
+   * @param now the current time
+   * @returns the change of the view; undefined if the registration is from an earlier process
+   *   than the worker's present one
    */
   putUpstream (registration: UpstreamEntry, now: Instant): UpstreamChange | undefined {
     const known = this.trackers.get(registration.id)
@@ -178,7 +179,7 @@
     return isRestart ? ViewChange.UpstreamRestarted : ViewChange.UpstreamChanged
   }
 
-  /** @param id a worker that is gone */
+  /** @param id a worker that is no longer registered */
   removeUpstream (id: string): void {
     const tracker = this.trackers.get(id)
     if (tracker === undefined) return
@@ -186,18 +187,18 @@
     this.pools.get(tracker.entry.service)?.remove(id)
   }
 
-  /** @param domain a failure domain that gets nothing from now on */
+  /** @param domain a failure domain that gets no requests from now on */
   putEvacuation (domain: string): void {
     this.evacuated.add(domain)
     for (const pool of this.pools.values()) pool.clearRankings()
   }
 
   /**
-   * Takes a failure domain back. Its workers may have lost what they kept in memory,
-   * and the operator's record does not say so: all count as just started, since the
-   * full load of a domain at once would crash cold ones.
+   * Ends the evacuation of a failure domain. Its workers may have lost their caches, and the
+   * operator's record doesn't say so. All of them are treated as just started, since the full
+   * load of a domain at once would crash cold ones.
    * @param domain the failure domain
-   * @param now the present
+   * @param now the current time
    */
   removeEvacuation (domain: string, now: Instant): void {
     this.evacuated.delete(domain)
@@ -218,7 +219,7 @@
     this.sendingNodes = undefined
   }
 
-  /** @param name an entry VM that is gone */
+  /** @param name an entry VM that is no longer registered */
   removeNode (name: string): void {
     this.nodes.delete(name)
     this.nodeNames = undefined
--- a/packages/steering/src/common/entry/followPlan.ts
+++ b/packages/steering/src/common/entry/followPlan.ts
@@ -1,39 +1,43 @@
 /**
- * Who follows the store, and from whom the others learn.
+ * Plans which entry VMs watch the store (the followers), and from which VMs the others
+ * replicate.
  *
- * The load pattern: each call to the store is priced and its rates grow more slowly
- * than the fleet, while each change must reach every entry VM within seconds. So
- * two VMs of each region watch it, and tell the others along a tree of bounded
- * fan-out. Every VM works the tree out from the list of VMs alone, without an
- * election: VMs whose lists differ for a moment follow once too often or ask a VM
- * further up, and both do no harm.
+ * Each call to the store has a cost, and its rate limits grow more slowly than the fleet,
+ * while each change must reach every entry VM within seconds. So two VMs of each region watch
+ * the store, and the others get the changes along a tree of bounded fan-out. Every VM computes
+ * the tree from the list of VMs alone, without an election. VMs whose lists differ for a
+ * moment watch the store needlessly or replicate from a VM further up the tree; both are
+ * harmless.
  *
- * Within a failure domain VMs stand in pairs, those with the largest links first and
- * alike ones by rendezvous rank: who watches the store receives each configuration
- * whole, and who tells others sends each change several times. Each VM learns from
- * both of the pair above its own, so that one VM that dies, is cut off, or is paused
- * delays nobody. The first pair of a domain learns from the region's two followers,
- * which lie in two domains where the region has two.
+ * Within a failure domain VMs form pairs, ordered by link speed and, for similar links, by
+ * rendezvous rank: a VM that watches the store receives each configuration in full, and one
+ * that updates others sends each change several times. Each VM replicates from both VMs of its
+ * parent pair, so that one VM that fails, is cut off, or is paused delays no other. The first
+ * pair of a domain replicates from the region's two followers, which are in two domains where
+ * the region has two.
  */
 import { rankByRendezvous } from '../lookup/rendezvous.js'
 import type { EntryNode } from './records.js'
 
-/** One may be paused or die; the other goes on. */
+/** If one of them is paused or fails, the other goes on. */
 const FOLLOWERS_PER_REGION = 2
-/** VMs that share their sources. */
+/** VMs that replicate from the same sources. */
 const PAIR_SIZE = 2
-/** Pairs that learn from one pair: each VM tells at most eight others of its domain, which reaches 42 VMs in three steps. */
+/**
+ * Pairs that replicate from one pair. Each VM then updates at most eight others of its domain,
+ * which reaches 42 VMs in three steps.
+ */
 const CHILD_PAIRS_PER_PAIR = 4
 
-/** What one VM is to do. */
+/** The role of one VM. */
 export interface FollowPlan {
   /** Whether this VM watches the store. */
   readonly isFollower: boolean
-  /** VMs to learn from, the best first; a VM keeps to the first two that serve it. */
+  /** VMs to replicate from, the preferred ones first; a VM uses the first two that serve it. */
   readonly sources: readonly EntryNode[]
 }
 
-/** Where the VMs are. */
+/** Regions by failure domain. */
 export type RegionByDomain = ReadonlyMap<string, string>
 
 function rankNodes (key: string, nodes: readonly EntryNode[]): EntryNode[] {
@@ -52,22 +56,22 @@
   return groups
 }
 
-/** Links that differ by less than a factor of two count alike, so that the rank spreads the work. */
+/** Links that differ by less than a factor of two count as equal, so that the rendezvous rank spreads the load. */
 function classifyLinkSpeed ({ linkMbps = 1 }: EntryNode): number {
   return Math.floor(Math.log2(linkMbps))
 }
 
-/** The VMs with the largest links first. */
+/** Ranks VMs by link speed, the fastest first, then by rendezvous rank. */
 function rankByLink (key: string, nodes: readonly EntryNode[]): EntryNode[] {
   return rankNodes(key, nodes).sort((left, right) => classifyLinkSpeed(right) - classifyLinkSpeed(left))
 }
 
-/** The VMs of one failure domain in the order in which they hear. */
+/** Ranks the VMs of one failure domain by their position in the tree. */
 function rankMembers (domain: string, members: readonly EntryNode[]): EntryNode[] {
   return rankByLink(`follow/${domain}`, members)
 }
 
-/** The followers of one region: the first VM of each of two domains, or the first two of its only one. */
+/** Chooses the followers of one region: the first VM of each of two domains, or the first two of its only domain. */
 function chooseFollowers (nodes: readonly EntryNode[]): EntryNode[] {
   const rankedByDomain = [...splitNodes(nodes, ({ domain }) => domain)].map(([domain, members]) => rankMembers(domain, members))
   if (rankedByDomain.length === 1) return rankedByDomain[0]!.slice(0, FOLLOWERS_PER_REGION)
@@ -75,7 +79,7 @@
   return rankByLink('follow', firstOfEachDomain).slice(0, FOLLOWERS_PER_REGION)
 }
 
-/** The pair above a VM within its domain; undefined for the first pair. */
+/** Finds the pair that a VM of a domain replicates from; undefined for the first pair. */
 function findParentPair (ranked: readonly EntryNode[], name: string): EntryNode[] | undefined {
   const pairIndex = Math.floor(ranked.findIndex((node) => node.name === name) / PAIR_SIZE)
   if (pairIndex === 0) return undefined
@@ -84,10 +88,10 @@
 }
 
 /**
- * @param nodes the entry VMs known, this one included or not
+ * @param nodes the known entry VMs; this one may be missing
  * @param self this VM
  * @param regionByDomain all failure domains with their regions
- * @returns whether this VM watches the store, and whom it learns from otherwise
+ * @returns whether this VM watches the store, and from whom it replicates otherwise
  */
 export function planFollowing (nodes: Iterable<EntryNode>, self: EntryNode, regionByDomain: RegionByDomain): FollowPlan {
   const allNodes = [...[...nodes].filter(({ name }) => name !== self.name), self]
@@ -98,7 +102,8 @@
   const domainMembers = rankMembers(self.domain, allNodes.filter(({ domain }) => domain === self.domain))
   const parents = findParentPair(domainMembers, self.name) ?? followers
   const remoteFollowers = [...followersByRegion].filter(([region]) => region !== ownRegion).flatMap(([, members]) => members)
-  // What remains is ranked anew for each VM, so that VMs that lost the same sources ask different ones.
+  // The fallbacks are ranked differently for each VM, so that VMs that lost the same sources replicate from
+  // different ones.
   const fallbacks = rankNodes(`spare/${self.name}`, [...followers, ...domainMembers.slice(0, PAIR_SIZE)])
   const sources = [...parents, ...fallbacks, ...rankNodes(`spare/${self.name}`, remoteFollowers)].filter(({ name }) => name !== self.name)
   return { isFollower: followers.some(({ name }) => name === self.name), sources: [...new Set(sources)] }
--- a/packages/steering/src/common/entry/handChance.ts
+++ b/packages/steering/src/common/entry/handChance.ts
@@ -1,31 +1,30 @@
 /**
- * The chance that a worker has an object at hand, learned from how soon answers came.
+ * Estimates the probability that a worker has an object cached, learned from how soon answers
+ * came.
  *
- * The load pattern: objects asked for through several entry VMs. Each VM remembers
- * its own requests only; what it does not remember is at hand all the same if
- * another VM's request went there. How often that is so depends on how many VMs
- * share the objects and on how many objects a worker keeps, neither of which a VM
- * is told; so it is counted, apart for what is remembered and for each of the first
- * places of the ranking.
+ * Each entry VM knows only its own requests, but an object may also be cached because of a
+ * request from another VM. How often depends on the number of VMs that share the objects and
+ * on the workers' cache sizes, neither of which a VM knows. So hits are counted separately for
+ * objects that this VM requested recently and for each of the first positions in the ranking.
  */
 
-/** What is known of an object at a worker before it is asked. */
+/** What is known about a worker's cache and an object before a request is sent. */
 export enum HandState {
-  /** This VM's own request for it went there lately. */
+  /** This VM recently sent a request for the object to the worker. */
   Remembered = 'remembered',
-  /** Not remembered, at the first worker of the object's ranking. */
+  /** No recent request from this VM; the worker ranks first for the key. */
   FirstRank = 'first-rank',
-  /** Not remembered, at the second. */
+  /** No recent request from this VM; the worker ranks second. */
   SecondRank = 'second-rank',
-  /** Not remembered, further down. */
+  /** No recent request from this VM; the worker ranks third or lower. */
   LaterRank = 'later-rank'
 }
 
-/** How much the newest answer counts: some twenty answers make the estimate. */
+/** Weight of the newest answer; about twenty answers determine the estimate. */
 const SMOOTHING_FACTOR = 0.05
 /**
- * Before any answer. The first two places begin in the middle, so that they are
- * tried: a place that is never tried is never learned of.
+ * Probabilities before the first answer. The first two positions start near the middle so that
+ * they get requests: without any, their estimates would never be corrected.
  */
 const INITIAL_PROBABILITIES: Readonly<Record<HandState, number>> = {
   [HandState.Remembered]: 0.95,
@@ -35,9 +34,9 @@
 }
 
 /**
- * @param isRecentlyUsed whether this VM's own request went there lately
- * @param rank the worker's place in the object's ranking, 0 the first
- * @returns what is known of the object there
+ * @param isRecentlyUsed whether this VM recently sent a request for the object to the worker
+ * @param rank the worker's position in the key's ranking, 0 for the first
+ * @returns what is known about the worker's cache
  */
 export function classifyCacheState (isRecentlyUsed: boolean, rank: number): HandState {
   if (isRecentlyUsed) return HandState.Remembered
@@ -45,18 +44,18 @@
   return rank === 1 ? HandState.SecondRank : HandState.LaterRank
 }
 
-/** The chances of one service. */
+/** The cache hit probabilities of one service. */
 export class CacheHitEstimator {
   private readonly probabilities = new Map<HandState, number>(Object.entries(INITIAL_PROBABILITIES) as Array<[HandState, number]>)
 
-  /** @returns the chance, 0 to 1 */
+  /** @returns the probability of a cache hit, 0 to 1 */
   getProbability (state: HandState): number {
     return this.probabilities.get(state)!
   }
 
   /**
-   * @param state what was known before
-   * @param wasCacheHit what the answer's time shows
+   * @param state what was known before the request
+   * @param wasCacheHit whether the answer's latency indicates a cache hit
    */
   observe (state: HandState, wasCacheHit: boolean): void {
     const known = this.getProbability(state)
--- a/packages/steering/src/common/entry/heardClock.ts
+++ b/packages/steering/src/common/entry/heardClock.ts
@@ -1,29 +1,29 @@
 /**
- * Another VM's steady clock, as far as this VM can be sure of it: an instant of the
- * other is placed on this VM's time line no later than it was.
+ * Converts instants of another VM's monotonic clock to this VM's clock, never to a later
+ * instant than the true one.
  *
- * What is sure is that the other VM's first line was written after it had been asked
- * for. Lines arrive later than they were written, by any time; so their arrival says
+ * The only certain fact is that the other VM wrote its first message after this VM had
+ * requested it. A message may arrive any time after it was written, so its arrival time proves
  * nothing.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { CLOCK_RATE_MARGIN } from '../limits/loans.js'
 
-/** A comparison that may be off by more is worth a new question, in milliseconds. */
+/** A larger uncertainty is worth a new request. */
 const MAX_UNCERTAINTY_MS = 300
 
-/** The clock of one VM, from one question on. */
+/** The clock of one other VM, relative to one request. */
 export class HeardClock {
   private firstReadingMs: number | undefined
   private firstUncertaintyMs = 0
 
-  /** @param requestedAt when the question was sent, on this VM's clock */
+  /** @param requestedAt when the request was sent, on this VM's clock */
   constructor (private readonly requestedAt: Instant) {}
 
   /**
-   * Takes over what the other VM's clock shows.
-   * @param clockMs as written on a line
-   * @param now when the line arrived
+   * Records the other VM's clock as of a message; only the first message counts.
+   * @param clockMs the clock's reading in the message
+   * @param now when the message arrived
    */
   recordLine (clockMs: number, now: Instant): void {
     if (this.firstReadingMs !== undefined) return
@@ -33,7 +33,8 @@
 
   /**
    * @param clockMs an instant on the other VM's clock
-   * @returns an instant on this VM's clock that lies no later; negative infinity before any line came
+   * @returns an instant on this VM's clock that is not later; negative infinity before the
+   *   first message
    */
   toOwnInstant (clockMs: number): Instant {
     if (this.firstReadingMs === undefined) return Number.NEGATIVE_INFINITY
@@ -42,8 +43,8 @@
   }
 
   /**
-   * @param now the present
-   * @returns whether a new question would place the other VM's instants noticeably better
+   * @param now the current time
+   * @returns whether a new request would reduce the uncertainty noticeably
    */
   isDoubtful (now: Instant): boolean {
     return this.firstUncertaintyMs + (now - this.requestedAt) * CLOCK_RATE_MARGIN > MAX_UNCERTAINTY_MS
--- a/packages/steering/src/common/entry/keyRanking.ts
+++ b/packages/steering/src/common/entry/keyRanking.ts
@@ -1,12 +1,12 @@
 /**
- * Weighted rendezvous hashing: each object's key ranks the workers, alike on every
- * entry VM. A worker is first for a part of the keys that equals its share, and a
- * change of the worker list moves only the keys that it must.
+ * Weighted rendezvous hashing: each object's key ranks the workers, in the same order on every
+ * entry VM. A worker ranks first for a fraction of the keys that equals its share, and a
+ * change of the worker list moves as few keys as possible.
  */
 import { computePairHash, PAIR_HASH_RANGE } from '../lookup/rendezvous.js'
 import type { WorkerShares } from './workerShares.js'
 
-/** Rankings kept; a service has far fewer objects in use at an entry VM, and an entry takes about 200 bytes. */
+/** Limit on cached rankings, about 200 bytes each. Far fewer objects of a service are in use at an entry VM. */
 const MAX_CACHED_KEYS = 20_000
 
 interface RankedWorker {
@@ -18,12 +18,12 @@
 export class KeyRanking {
   private readonly ranksByKey = new Map<string, readonly string[]>()
 
-  /** @param shares each worker's part */
+  /** @param shares each worker's share of the requests */
   constructor (private readonly shares: WorkerShares) {}
 
   /**
-   * @param key what identifies the object
-   * @returns workers' ids, the first choice first
+   * @param key identifies the object
+   * @returns worker ids, the first choice first
    */
   rank (key: string): readonly string[] {
     const cached = this.ranksByKey.get(key)
@@ -37,7 +37,7 @@
   private computeRanks (key: string): string[] {
     const ranked: RankedWorker[] = []
     for (const [id, share] of this.shares) {
-      // With the half added a hash never gives 0 or 1.
+      // Adding one half keeps the sample strictly between 0 and 1.
       const uniformSample = (computePairHash(key, id) + 0.5) / PAIR_HASH_RANGE
       ranked.push({ id, score: -Math.log(uniformSample) / share })
     }
--- a/packages/steering/src/common/entry/offerAgain.ts
+++ b/packages/steering/src/common/entry/offerAgain.ts
@@ -1,36 +1,35 @@
 /**
- * Whether a request is offered to another worker after an offer that brought no answer.
+ * Whether a request is retried at another worker after an attempt that brought no answer.
  *
- * The load pattern: workers that refuse a part of what they get, break off or lose
- * answers. Each further offer draws on a budget that all entry VMs share, and may
- * run the request once more.
+ * Workers may reject a fraction of their requests, break connections or lose answers. Each
+ * retry draws on a budget shared by all entry VMs, and may execute the request once more.
  */
 import { isRetryable, type RoutePolicy } from './steeringDocument.js'
 
-/** Offers that could not be sent are made anew this often; each costs an opening time. */
+/** Limit on retries after attempts that could not be sent. Each costs the time to open a connection. */
 const MAX_UNSENT_ATTEMPTS = 3
-/** Offers beyond the route's attempts that workers may refuse: such a refusal is no run. */
+/** Attempts beyond the route's limit that workers may reject, since a rejected request was not executed. */
 const MAX_EXTRA_REJECTIONS = 2
 
-/** What has been done for a request so far. */
+/** The attempts made for a request so far. */
 export interface AttemptCounts {
-  /** Offers that were sent to a worker. */
+  /** Attempts that were sent to a worker. */
   readonly sent: number
-  /** Offers that could not be sent. */
+  /** Attempts that could not be sent. */
   readonly unsent: number
 }
 
-/** @returns whether a request is offered again after an offer that could not be sent */
+/** @returns whether to retry after an attempt that could not be sent */
 export function mayOfferAfterUnsent ({ unsent }: AttemptCounts): boolean {
   return unsent <= MAX_UNSENT_ATTEMPTS
 }
 
-/** @returns whether a request is offered again after a worker that did not run it */
+/** @returns whether to retry after a worker rejected the request without executing it */
 export function mayOfferAfterRefusal ({ attempts }: RoutePolicy, { sent }: AttemptCounts): boolean {
   return sent < attempts + MAX_EXTRA_REJECTIONS - 1
 }
 
-/** @returns whether a request is offered again after an offer that may have run it */
+/** @returns whether to retry after an attempt that may have executed the request */
 export function mayOfferAfterRun ({ kind, attempts }: RoutePolicy, { sent }: AttemptCounts): boolean {
   return isRetryable(kind) && sent < attempts
 }
--- a/packages/steering/src/common/entry/offerLesson.ts
+++ b/packages/steering/src/common/entry/offerLesson.ts
@@ -1,33 +1,36 @@
-/** What an entry VM learns from a worker's answer: how long work takes, how fast the worker is, what it has at hand. */
+/** Updates an entry VM's estimates from a worker's answer: service times, the worker's speed and its cache. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { Choice } from './chooseUpstream.js'
 import type { WorkerPool } from './workerPool.js'
 import type { ServiceTimeEstimate } from './serviceTimeEstimate.js'
 
-/** One answer. */
+/** One answer of a worker. */
 export interface AnswerObservation {
   readonly choice: Choice
-  /** The request's object; undefined if workers handle all alike. */
+  /** Key of the request's object; undefined if workers cache nothing for the route. */
   readonly key: string | undefined
-  /** From sending to the whole answer, in milliseconds; time that a caller's request waited behind others is no part of it. */
+  /**
+   * Time from sending the request to the end of the answer, in milliseconds. It excludes time
+   * that the request was queued at the entry VM.
+   */
   readonly tookMs: number
-  /** The answer's length. */
+  /** Length of the answer. */
   readonly bytes: number
-  /** When the answer was whole. */
+  /** When the answer was complete. */
   readonly now: Instant
 }
 
 /**
- * Takes over what an answer shows.
- * @param lesson the answer
- * @param pool of the worker's service
- * @param serviceTimes of the request's route at that service
+ * Updates the estimates of a service and a route from an answer.
+ * @param answer the answer
+ * @param pool the workers of the service
+ * @param serviceTimes service times of the request's route at that service
  */
 export function observeAnswer ({ choice, key, tookMs, bytes, now }: AnswerObservation, pool: WorkerPool, serviceTimes: ServiceTimeEstimate): void {
   const { tracker, hand: cacheState, roundTripMs } = choice.candidate
   const delayBeforeServiceMs = choice.waitMs + roundTripMs
   const wasCacheHit = key !== undefined && serviceTimes.isCacheHit(tookMs - delayBeforeServiceMs)
-  // Against what this kind of work takes: a worker is not slow for having worked on an object anew.
+  // Compared with the time for a hit or a miss respectively: a cache miss doesn't make a worker slow.
   tracker.recordLatencyRatio(tookMs / Math.max(1, delayBeforeServiceMs + serviceTimes.getServiceTimeMs(wasCacheHit)), now)
   serviceTimes.observe(wasCacheHit, tookMs - delayBeforeServiceMs, bytes)
   if (key === undefined) return
--- a/packages/steering/src/common/entry/proximity.ts
+++ b/packages/steering/src/common/entry/proximity.ts
@@ -1,6 +1,6 @@
-/** How near a failure domain is to another: the one judgement that shares, distances and costs go by. */
+/** Proximity of failure domains; traffic shares, round trip times and transfer costs all go by it. */
 
-/** From one failure domain to another. */
+/** Proximity of one failure domain to another. */
 export enum Proximity {
   SameDomain = 'same-domain',
   SameRegion = 'same-region',
@@ -9,9 +9,9 @@
 
 /**
  * @param from a failure domain
- * @param to another, or the same
+ * @param to another failure domain, or the same
  * @param regionByDomain all failure domains with their regions
- * @returns how near they are
+ * @returns their proximity
  */
 export function classifyProximity (from: string, to: string, regionByDomain: ReadonlyMap<string, string>): Proximity {
   if (from === to) return Proximity.SameDomain
--- a/packages/steering/src/common/entry/recordNews.ts
+++ b/packages/steering/src/common/entry/recordNews.ts
@@ -1,19 +1,22 @@
-/** What entry VMs tell each other of the records. */
+/** Updates of records that entry VMs send each other. */
 import type { DocumentDelta } from './documentParts.js'
 import type { RecordChanges } from './records.js'
 
-/** All was known up to one revision, and again as of a later one. */
+/**
+ * Revisions between which records may have been written and removed unseen: everything is
+ * known up to `after` and, from a snapshot, as of `until`.
+ */
 export interface RevisionGap {
   readonly after: number
   readonly until: number
 }
 
-/** What a VM that learns from another is told. */
+/** An update for a VM that replicates from another one. */
 export interface RecordNews extends RecordChanges {
-  /** Whether `written` is everything, so that what is missing there is gone. */
+  /** Whether this is a full update: `written` holds all records, and others no longer exist. */
   readonly isWhole: boolean
-  /** If it is not everything: revisions between which the teller does not know what came and went. */
+  /** In a partial update, the gaps in which the sender does not know what was written and removed. */
   readonly gaps: readonly RevisionGap[]
-  /** If it is not everything: what changed of the configuration, which stands in `written` otherwise. */
+  /** In a partial update, the changes of the configuration; a full update has it in `written`. */
   readonly document?: DocumentDelta | undefined
 }
--- a/packages/steering/src/common/entry/recordProof.ts
+++ b/packages/steering/src/common/entry/recordProof.ts
@@ -1,26 +1,25 @@
 /**
- * Since when the records are surely the newest that the store held: a lower bound
- * on the instant at which the store itself spoke.
+ * Tracks until when the records are proven to have been the newest in the store: a lower bound
+ * on the time of the store's state that they reflect.
  *
- * Guards against records that look current and are not: a watch that waits, an
- * answer that was held up on its way, and a process that was paused all look alike.
- * What counts is when a question was sent; its answer may have been held up for any
- * time, but speaks for the store after the question.
+ * Guards against records that look current but are stale: an idle watch, a delayed answer and
+ * a paused process all look alike. What counts is when a request was sent. Its answer may have
+ * been delayed for any time, but reflects the store's state after the request.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 
-/** Questions whose changes have not come yet; each waits for less than a second as a rule. */
+/** Limit on readings whose changes have not arrived yet; each usually waits for less than a second. */
 const MAX_PENDING_READINGS = 16
 
-/** The store's revision, as told on a question. */
+/** The store's revision, as returned for a request. */
 export interface RevisionReading {
-  /** When the question was sent, or earlier. */
+  /** When the request was sent, or earlier. */
   readonly askedAt: Instant
   /** The store's revision at some instant after that. */
   readonly revision: number
 }
 
-/** The proof of one VM; all instants are of a clock that counts suspensions. */
+/** The freshness proof of one VM. All instants are of a clock that counts suspensions. */
 export class RecordProof {
   private latestProvenAt: Instant = Number.NEGATIVE_INFINITY
   private pendingReadings: RevisionReading[] = []
@@ -31,9 +30,10 @@
   }
 
   /**
-   * Takes over the store's revision; it proves something once all changes up to it are known.
-   * @param reading what the store told
-   * @param knownRevision up to which changes are known
+   * Records a reading of the store's revision. It proves something once all changes up to it
+   * are known.
+   * @param reading the reading
+   * @param knownRevision revision up to which changes are known
    */
   recordReading (reading: RevisionReading, knownRevision: number): void {
     this.pendingReadings.push(reading)
@@ -41,7 +41,10 @@
     this.handleRevision(knownRevision)
   }
 
-  /** @param knownRevision up to which changes are known from now on */
+  /**
+   * Accounts for changes that arrived.
+   * @param knownRevision revision up to which changes are now known
+   */
   handleRevision (knownRevision: number): void {
     for (const { askedAt, revision } of this.pendingReadings) {
       if (revision <= knownRevision) this.latestProvenAt = Math.max(this.latestProvenAt, askedAt)
@@ -49,14 +52,18 @@
     this.pendingReadings = this.pendingReadings.filter(({ revision }) => revision > knownRevision)
   }
 
-  /** @param at an instant at which the VM that tells the records had the newest, all of which are known here */
+  /**
+   * Records the proof of the peer that the records come from.
+   * @param at an instant at which the peer's records, all of which are known here, were the
+   *   newest
+   */
   recordTold (at: Instant): void {
     this.latestProvenAt = Math.max(this.latestProvenAt, at)
   }
 
   /**
-   * @param now the present
-   * @returns how old the records may be, in milliseconds; Infinity if nothing is proven
+   * @param now the current time
+   * @returns the maximum age of the records, in milliseconds; Infinity if nothing is proven
    */
   getAgeMs (now: Instant): number {
     return Math.max(0, now - this.latestProvenAt)
--- a/packages/steering/src/common/entry/recordTable.ts
+++ b/packages/steering/src/common/entry/recordTable.ts
@@ -1,11 +1,13 @@
 /**
- * Joins snapshots and changes from the store and from peers into one view.
+ * A local replica of the store's records, merged from snapshots and changes of the store and
+ * of peers.
  *
- * Guards against two failures. A worker that lives but whose registration lapsed
- * while the store was away would be dropped by all entry VMs at once, and its load
- * would sink the rest; so what disappears during such an outage stays until shortly
- * after it. And a late message from a peer would bring back what the store has
- * removed; so nothing with an older revision than the view's own replaces anything.
+ * Guards against two failures:
+ * - Workers that are alive but whose leases expired during an outage of the store would be
+ *   dropped by all entry VMs at once, and their load would overload the rest. So records that
+ *   disappear during an outage are kept until shortly after it.
+ * - A late message from a peer could restore a record that the store has removed. So nothing
+ *   with an older revision than the replica's own replaces anything.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, hasPassed, type Deadline } from '@umberspar/base/common/deadline'
@@ -14,34 +16,34 @@
 import { type RecordChange, type RecordChanges, RecordKind, type RecordSnapshot, type RemovedRecord, type SteeringRecord, UpstreamState } from './records.js'
 
 /**
- * How long after the store's return a missing registration may still come back, in
- * milliseconds: workers renew every 1.5 s or so and are said to be back within about 2 s.
+ * How long after the end of an outage a missing registration is kept. Workers renew about
+ * every 1.5 s and are specified to be back within about 2 s.
  */
 export const REREGISTRATION_GRACE_MS = 2_100
 /**
- * Shorter outages make no registration lapse, since that takes three missed
- * renewals; holding removals back after them would only delay what is true.
+ * Shorter outages let no lease expire, since that takes three missed renewals. Keeping removed
+ * records after them would only delay true removals.
  */
 const MIN_OUTAGE_MS = 2_000
 
-/** Removals kept for VMs that learn from this one; one that is further behind is told everything. */
+/** Limit on remembered removals for VMs that replicate from this one. A VM further behind gets a full update. */
 const MAX_TOMBSTONES = 4_096
 
-/** Readings of everything that are remembered; the store drops its history now and then only. */
+/** Limit on remembered gaps; the store compacts its history only now and then. */
 const MAX_GAPS = 32
 
-/** Everything that this entry VM believes, by key. */
+/** This entry VM's replica of the records, by key. */
 export class RecordTable {
   private readonly recordsByKey = new Map<string, SteeringRecord>()
-  /** Keys that disappeared while the store was away or just after, with when to believe it; Infinity until the store is back. */
+  /** Keys removed during or just after an outage, with when the removal takes effect; Infinity until the store is back. */
   private readonly heldRemovalsByKey = new Map<string, Deadline>()
-  /** Removals by key in the order in which they were learned, held ones included. */
+  /** Revisions of removals by key, in the order in which they arrived, held ones included. */
   private readonly tombstonesByKey = new Map<string, number>()
-  /** Removals up to this revision may have been forgotten, or never been known. */
+  /** Removals up to this revision may have been discarded, or may never have been known. */
   private discardedRevision = 0
-  /** What came and went within these never showed; the oldest first. */
+  /** Revision ranges in which records may have been written and removed unseen; the oldest first. */
   private gaps: RevisionGap[] = []
-  /** The configuration that stands, for telling what changed of it. */
+  /** The current configuration in parts, for building deltas. */
   private readonly documentParts = new DocumentParts()
   private storeRevision = 0
   private holdRemovalsUntil: Deadline = Number.NEGATIVE_INFINITY
@@ -53,7 +55,7 @@
   }
 
   /**
-   * Notes that the store does not answer, or refuses this VM.
+   * Records that the store does not answer, or refuses this VM.
    * @param since when it answered last
    */
   recordStoreLost (since: Instant): void {
@@ -61,42 +63,42 @@
   }
 
   /**
-   * Notes that the store answers again, or that another VM vouches for what it tells.
-   * @param now the present
-   * @param holdMs how much longer that VM holds back what disappeared, in milliseconds;
-   *   undefined for the store, which has judged nothing
+   * Records that the store answers again, or that a peer's records are proven to be current.
+   * @param now the current time
+   * @param holdMs how much longer the peer holds back removals, in milliseconds; undefined for
+   *   the store, which holds back nothing
    */
   recordStoreRegained (now: Instant, holdMs?: number): void {
     if (this.storeLostAt === undefined) return
     const outageMs = now - this.storeLostAt
     this.storeLostAt = undefined
     const holdSpanMs = holdMs ?? (outageMs < MIN_OUTAGE_MS ? 0 : REREGISTRATION_GRACE_MS)
-    // A short outage just after a long one does not shorten the wait for what the long one lost.
+    // A short outage just after a long one does not shorten the grace period of the long one.
     this.holdRemovalsUntil = Math.max(this.holdRemovalsUntil, createDeadline(now, holdSpanMs))
     for (const key of this.heldRemovalsByKey.keys()) this.heldRemovalsByKey.set(key, this.holdRemovalsUntil)
   }
 
   /**
-   * @param now the present
-   * @returns how much longer what disappears is held back, in milliseconds
+   * @param now the current time
+   * @returns how much longer removals are held back, in milliseconds
    */
   getHoldMs (now: Instant): number {
     return Math.max(0, this.holdRemovalsUntil - now)
   }
 
   /**
-   * Holds back what disappears for as long as a VM that this one learns from.
-   * @param now the present
-   * @param holdMs how much longer that VM does so, in milliseconds
+   * Holds back removals for as long as the peer that this VM replicates from.
+   * @param now the current time
+   * @param holdMs how much longer the peer does so, in milliseconds
    */
   updateHold (now: Instant, holdMs: number): void {
     if (holdMs > 0) this.holdRemovalsUntil = Math.max(this.holdRemovalsUntil, createDeadline(now, holdMs))
   }
 
   /**
-   * @param snapshot everything as of its revision
-   * @param now the present
-   * @returns the records that changed, appeared or disappeared
+   * @param snapshot all records as of its revision
+   * @param now the current time
+   * @returns the records that were written or removed
    */
   applySnapshot (snapshot: RecordSnapshot, now: Instant): RecordChange[] {
     if (snapshot.revision < this.storeRevision) return []
@@ -111,12 +113,12 @@
   }
 
   /**
-   * Takes over what another VM tells: the store's own events, not that VM's
-   * judgement of them, so that what disappeared in an outage is held back here as there.
-   * @param update what it tells
-   * @param now the present
-   * @returns the records that changed, appeared or disappeared; undefined if what is known
-   *   here is not what the news were told for, so that everything has to be told
+   * Applies an update from a peer. It holds the store's own events, not the peer's decisions
+   * about them, so removals during an outage are held back here as there.
+   * @param update the update
+   * @param now the current time
+   * @returns the records that were written or removed; undefined if the update does not fit
+   *   the records known here, so that a full update is needed
    */
   applyNews (update: RecordNews, now: Instant): RecordChange[] | undefined {
     if (!update.isWhole) return this.applyDelta(update, now)
@@ -127,11 +129,11 @@
 
   private applyDelta (delta: RecordNews, now: Instant): RecordChange[] | undefined {
     const { document: documentDelta } = delta
-    // A read of the operators' records alone may have brought a later configuration than the rest.
+    // A separate read of the operators' records may have brought a later configuration than the other records.
     const knownRevision = documentDelta === undefined ? 0 : Math.max(this.storeRevision, this.get(documentDelta.key)?.revision ?? 0)
-    const isNew = documentDelta !== undefined && documentDelta.revision > knownRevision
-    const value = isNew ? this.documentParts.mergeDelta(documentDelta) : undefined
-    if (isNew && value === undefined) return undefined
+    const isNewDocument = documentDelta !== undefined && documentDelta.revision > knownRevision
+    const value = isNewDocument ? this.documentParts.mergeDelta(documentDelta) : undefined
+    if (isNewDocument && value === undefined) return undefined
     for (const gap of delta.gaps) this.putGap(gap)
     if (value === undefined) return this.applyChanges(delta, now)
     const { key, revision } = documentDelta!
@@ -141,8 +143,8 @@
   }
 
   /**
-   * @param revision what another VM knows already
-   * @returns what it has to be told; undefined if nothing
+   * @param revision the revision up to which a peer knows everything
+   * @returns the update that the peer needs; undefined if none
    */
   readNewsAfter (revision: number): RecordNews | undefined {
     if (revision >= this.storeRevision) return undefined
@@ -166,25 +168,26 @@
   }
 
   /**
-   * Events that the view has passed already are left out: a peer may have told of
-   * a removal that the store's own events reach only later, after the writing before it.
+   * Applies changes from the store. Events up to the known revision are ignored: a peer may
+   * have announced a removal that the store's own events reach only later, after the writing
+   * before it.
    * @param changes what was written and removed since an earlier revision
-   * @param now the present
-   * @returns the records that changed, appeared or disappeared
+   * @param now the current time
+   * @returns the records that were written or removed
    */
   applyChanges (changes: RecordChanges, now: Instant): RecordChange[] {
-    const isNew = ({ revision }: { readonly revision: number }): boolean => revision > this.storeRevision
+    const isUnseen = ({ revision }: { readonly revision: number }): boolean => revision > this.storeRevision
     return this.mergeRecords({
       revision: changes.revision,
-      written: changes.written.filter(isNew),
-      removed: changes.removed.filter(isNew)
+      written: changes.written.filter(isUnseen),
+      removed: changes.removed.filter(isUnseen)
     }, now)
   }
 
   /**
-   * Drops what disappeared during an outage and has not come back in time.
-   * @param now the present
-   * @returns what was dropped
+   * Removes the records that disappeared during an outage and were not written again in time.
+   * @param now the current time
+   * @returns the removed records
    */
   releaseHeld (now: Instant): RecordChange[] {
     if (this.storeLostAt !== undefined) return []
@@ -192,14 +195,14 @@
     return due.map(([key]) => this.deleteRecord(key))
   }
 
-  /** @returns whether something waits for `releaseHeld` */
+  /** @returns whether removals are held for {@link RecordTable.releaseHeld} */
   get hasHeld (): boolean {
     return this.heldRemovalsByKey.size > 0
   }
 
   /**
    * @param key a record's key
-   * @returns the record, if it stands
+   * @returns the record, if it exists
    */
   get (key: string): SteeringRecord | undefined {
     return this.recordsByKey.get(key)
@@ -229,9 +232,9 @@
   }
 
   /**
-   * What came and went since the revision known before shows in no snapshot. A VM that
-   * knows no more than this one did never heard of it either; one that knows a part of
-   * it has to be told everything.
+   * Records a gap before a snapshot, which does not show what was written and removed in it. A
+   * peer that knows no more than this VM did needs nothing of it; one that knows a part needs
+   * a full update.
    */
   private recordGap (until: number): void {
     if (until <= this.storeRevision) return
@@ -253,7 +256,7 @@
     return { record: undefined, previous }
   }
 
-  /** Notes a removal for VMs that learn from this one. */
+  /** Remembers a removal for VMs that replicate from this one. */
   private recordTombstone ({ key, revision }: RemovedRecord): void {
     const known = this.tombstonesByKey.get(key) ?? 0
     this.tombstonesByKey.delete(key)
@@ -267,20 +270,25 @@
   private removeRecord (removal: RemovedRecord, now: Instant): RecordChange[] {
     const { key, revision } = removal
     const known = this.recordsByKey.get(key)
-    // The configuration is only ever replaced; one that cannot be found is a fault of the reading.
+    // The configuration is only ever replaced, never removed; a missing one is an error of the read.
     if (known !== undefined && (known.revision > revision || known.kind === RecordKind.Document)) return []
-    // What this VM never knew, one that learns from it may.
+    // A VM that replicates from this one may know a record that this one never had.
     this.recordTombstone(removal)
     if (known === undefined) return []
     const isHeld = this.storeLostAt !== undefined || !hasPassed(this.holdRemovalsUntil, now)
     if (!isHeld || !mayReregister(known)) return [this.deleteRecord(key)]
-    // Counted from the store's return, not from the removal: what leaves after the return must not be held on top.
+    // The grace period starts at the end of the outage, not at the removal. Otherwise a worker that leaves after
+    // the outage would be kept for another full period.
     if (!this.heldRemovalsByKey.has(key)) this.heldRemovalsByKey.set(key, this.storeLostAt === undefined ? this.holdRemovalsUntil : Infinity)
     return []
   }
 }
 
-/** A lapsed lease removes what lives; the operator's records and announced leavings have none. */
+/**
+ * Whether the owner may write a removed record again. Only registrations have a lease that can
+ * expire while the owner is alive; the operators' records have none, and draining workers
+ * leave on purpose.
+ */
 function mayReregister (record: SteeringRecord): boolean {
   if (record.kind === RecordKind.Upstream) return record.value.state === UpstreamState.Ready
   return record.kind === RecordKind.Node
--- a/packages/steering/src/common/entry/records.ts
+++ b/packages/steering/src/common/entry/records.ts
@@ -1,24 +1,25 @@
 /**
- * What an entry VM believes of the deployment: the configuration, the workers that
- * registered themselves, evacuated failure domains, and the other entry VMs. All
- * of it comes from the platform's store and carries the store's revision.
+ * The records of which an entry VM builds its view of the deployment: the configuration, the
+ * registrations of workers and entry VMs, evacuated failure domains, quota shares, crash
+ * reports and quarantines. All come from the platform's store and have the store's revision.
  */
 import type { CrashReports, Quarantine } from '../quarantine/crashReport.js'
 import type { SteeringDocument } from './steeringDocument.js'
 
-/** What a worker says of itself. */
+/** State of a worker, as it reports it. */
 export enum UpstreamState {
   Ready = 'ready',
-  /** Announced to leave: it gets no new work. */
+  /** Announced to leave: it gets no new requests. */
   Draining = 'draining'
 }
 
-/** One worker, by its own registration; each start of a worker has a new id or a new start time. */
+/** The registration of one worker, a process of an upstream. After each start a worker has a new id or a new start time. */
 export interface UpstreamEntry {
   readonly id: string
   /**
-   * When it started, by its own wall clock, in whole milliseconds; undefined if it
-   * does not say. Only compared for being another than before: clocks jump.
+   * When the worker started, by its own wall clock, in whole milliseconds; undefined if it
+   * does not report it. Only compared for equality with the previous one, since wall clocks
+   * jump.
    */
   readonly startedAt?: number
   readonly service: string
@@ -27,31 +28,31 @@
   readonly domain: string
   readonly slots: number
   readonly state: UpstreamState
-  /** How much longer it stays cold from the moment it wrote this, in milliseconds. */
+  /** Remaining cold start when the worker wrote the record, in milliseconds. */
   readonly coldMs: number
 }
 
-/** One entry VM, by its own registration. */
+/** The registration of one entry VM. */
 export interface EntryNode {
   readonly name: string
-  /** `host:port` of the callers' listener. */
+  /** `host:port` of the listener for callers. */
   readonly address: string
   /** `host:port` of the listener for other entry VMs. */
   readonly peerAddress: string
   readonly domain: string
-  /** What its link carries each way, in megabits a second; undefined if that is not known. */
+  /** Bandwidth of the VM's link in each direction, in megabits per second; undefined if unknown. */
   readonly linkMbps?: number | undefined
 }
 
-/** Who keeps one share of the quotas; the store lets one VM at a time claim it. */
+/** The holder of one share of the quotas; the store lets one VM at a time claim it. */
 export interface ShareKeeper {
   /** The share's name. */
   readonly share: string
-  /** The keeping VM's name. */
+  /** The holder's VM name. */
   readonly node: string
-  /** The keeping process: another one of the same VM knows nothing of what this one gave. */
+  /** Identifies the holder's process: another process of the same VM does not know which quota this one granted. */
   readonly life: string
-  /** `host:port` of its listener for other entry VMs. */
+  /** `host:port` of the holder's listener for other entry VMs. */
   readonly peerAddress: string
 }
 
@@ -62,14 +63,14 @@
   Evacuation = 'evacuation',
   Node = 'node',
   Share = 'share',
-  /** What one entry VM reports of workers that crashed. */
+  /** One entry VM's reports of workers that crashed. */
   CrashReports = 'crash-reports',
   Quarantine = 'quarantine',
-  /** Overwritten with something that cannot be read: the key names nothing until it can be read again. */
+  /** Overwritten with an unreadable value: the key has no effect until it is readable again. */
   Unreadable = 'unreadable'
 }
 
-/** One record as it stands in the store. */
+/** One record of the store. */
 export type SteeringRecord =
   | { readonly kind: RecordKind.Document, readonly key: string, readonly revision: number, readonly value: SteeringDocument }
   | { readonly kind: RecordKind.Upstream, readonly key: string, readonly revision: number, readonly value: UpstreamEntry }
@@ -78,7 +79,7 @@
   | { readonly kind: RecordKind.Share, readonly key: string, readonly revision: number, readonly value: ShareKeeper }
   | { readonly kind: RecordKind.CrashReports, readonly key: string, readonly revision: number, readonly value: CrashReports }
   | { readonly kind: RecordKind.Quarantine, readonly key: string, readonly revision: number, readonly value: Quarantine }
-  /** `value` says what is wrong with it. */
+  /** `value` describes the error. */
   | { readonly kind: RecordKind.Unreadable, readonly key: string, readonly revision: number, readonly value: string }
 
 /** A record that was deleted. */
@@ -87,23 +88,23 @@
   readonly revision: number
 }
 
-/** Everything, as of one revision. */
+/** All records as of one revision. */
 export interface RecordSnapshot {
   readonly revision: number
   readonly records: readonly SteeringRecord[]
 }
 
-/** What changed up to a revision. */
+/** Changes up to a revision. */
 export interface RecordChanges {
   readonly revision: number
   readonly written: readonly SteeringRecord[]
   readonly removed: readonly RemovedRecord[]
 }
 
-/** One record of the view that was written or removed. */
+/** One record that was written or removed. */
 export interface RecordChange {
-  /** What stands there now; undefined if it is gone. */
+  /** The present record; undefined if it was removed. */
   readonly record: SteeringRecord | undefined
-  /** What stood there before. */
+  /** The previous record; undefined if there was none. */
   readonly previous: SteeringRecord | undefined
 }
--- a/packages/steering/src/common/entry/retryBudget.ts
+++ b/packages/steering/src/common/entry/retryBudget.ts
@@ -1,49 +1,50 @@
 /**
- * The repeats that this entry VM may send for a service. All entry VMs share one
- * budget in a sliding window; each spends only what its own requests earn, so that
- * the sum holds without talk, whichever of them are cut off.
+ * Limits the retries that this entry VM may send for a service.
+ *
+ * All entry VMs share one budget in a sliding window. Each spends only what its own requests
+ * earn, so the sum holds without coordination, whichever VMs are cut off.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 
-/** The budget as operators set it. */
+/** The configured retry budget. */
 export interface RetryBudgetSettings {
-  /** Repeats for each request. */
+  /** Retries per request. */
   readonly ratio: number
-  /** The window, in milliseconds. */
+  /** Length of the sliding window, in milliseconds. */
   readonly windowMs: number
-  /** Repeats beyond the ratio that all entry VMs together may send in a window. */
+  /** Retries beyond the ratio that all entry VMs together may send in a window. */
   readonly slack: number
 }
 
 /**
- * The part of the ratio that is spent. Requests that reach two services, by a
- * split or by a change of the configuration, count at one of them only.
+ * Fraction of the ratio that is spent. A request that reaches two services, by a traffic split
+ * or a change of the configuration, earns retries at one of them only.
  */
 const SPENDABLE_RATIO_FRACTION = 0.7
-/** The part of the slack that is shared out; the rest covers VMs that have just come or gone. */
+/** Fraction of the slack that is divided among the VMs; the rest covers VMs that have just joined or left. */
 const SPENDABLE_SLACK_FRACTION = 0.6
 
-/** Counts one service's requests and repeats. */
+/** Counts one service's requests and retries. */
 export class RetryBudget {
   private requestTimes: Instant[] = []
   private retryTimes: Instant[] = []
 
   /**
-   * @param settings the operators' budget
-   * @param countNodes how many entry VMs share the slack, at the moment
+   * @param settings the configured budget
+   * @param countNodes returns the number of entry VMs that currently share the slack
    */
   constructor (private readonly settings: RetryBudgetSettings, private readonly countNodes: () => number) {}
 
-  /** @param now when a request came */
+  /** @param now when a request arrived */
   recordFirst (now: Instant): void {
     this.requestTimes.push(now)
     if (this.requestTimes.length > 256 && this.requestTimes[0]! < now - this.settings.windowMs) this.removeExpired(now)
   }
 
   /**
-   * Takes one repeat from the budget.
-   * @param now the present
-   * @returns whether it may be sent
+   * Takes one retry from the budget.
+   * @param now the current time
+   * @returns whether the retry may be sent
    */
   take (now: Instant): boolean {
     if (this.countLeft(now) < 1) return false
@@ -52,8 +53,8 @@
   }
 
   /**
-   * @param now the present
-   * @returns the repeats that could be sent at once
+   * @param now the current time
+   * @returns the number of retries that could be sent now
    */
   countLeft (now: Instant): number {
     this.removeExpired(now)
--- a/packages/steering/src/common/entry/routeTable.ts
+++ b/packages/steering/src/common/entry/routeTable.ts
@@ -1,11 +1,11 @@
-/** Finds the route of a request: by host, then by the longest prefix of its path. */
+/** Finds the route of a request by its host, then by the longest prefix of its path. */
 import type { RoutePolicy, SteeringDocument } from './steeringDocument.js'
 
 function comparePrefixLength (left: RoutePolicy, right: RoutePolicy): number {
   return right.prefix.length - left.prefix.length
 }
 
-/** The routes of one version of the configuration, ready for look-ups. */
+/** The routes of one version of the configuration, indexed for lookups. */
 export class RouteTable {
   private readonly routesByHost = new Map<string, RoutePolicy[]>()
 
@@ -21,9 +21,9 @@
   }
 
   /**
-   * @param host the `Host` field, with or without port, in any case
-   * @param target the request target; its query is left out of the comparison
-   * @returns the route with the longest prefix that begins the path
+   * @param host the `Host` header, with or without port, in any case
+   * @param target the request target; its query is ignored
+   * @returns the route with the longest matching prefix
    */
   find (host: string, target: string): RoutePolicy | undefined {
     const routes = this.routesByHost.get(host.split(':', 1)[0]!.toLowerCase())
--- a/packages/steering/src/common/entry/serviceTimeEstimate.ts
+++ b/packages/steering/src/common/entry/serviceTimeEstimate.ts
@@ -1,70 +1,70 @@
 /**
- * How long a route's requests keep a worker busy, learned from answers: apart for
- * objects that the worker handled lately and for others, since the former take a
- * third of the time or less where workers keep objects in memory.
+ * Estimates the service times of a route's requests from the answers. Cache hits and misses
+ * are estimated separately, since a hit takes a third of the time or less where workers cache
+ * objects.
  */
 import type { RoutePolicy } from './steeringDocument.js'
 
-/** How much the newest answer counts. */
+/** Weight of the newest answer. */
 const SMOOTHING_FACTOR = 0.05
-/** Before any answer, work on a new object is taken to last this part of the route's goal. */
+/** Service time of a cache miss before the first answer, relative to the route's latency goal. */
 const INITIAL_MISS_RATIO = 1.2
-/** The same for an object that the worker handled lately. */
+/** Service time of a cache hit before the first answer, relative to the route's latency goal. */
 const INITIAL_HIT_RATIO = 0.45
-/** So many answers make an estimate. */
+/** Answers needed before the estimate is relied on. */
 const MIN_SAMPLES = 10
-/** A single answer moves the estimate by no more than this factor; one frozen worker must not spoil it. */
+/** Limits the effect of one answer, relative to the current estimate, so that one frozen worker doesn't spoil it. */
 const MAX_SAMPLE_RATIO = 3
 
-/** The estimate of one route. */
+/** The service times of one route at one service. */
 export class ServiceTimeEstimate {
   private missMs: number
   private hitMs: number
   private meanAnswerBytes = 0
   private sampleCount = 0
 
-  /** @param route the route whose goal gives the first estimate */
+  /** @param route its latency goal gives the initial estimates */
   constructor (route: RoutePolicy) {
     this.missMs = route.goalMs * INITIAL_MISS_RATIO
     this.hitMs = route.goalMs * INITIAL_HIT_RATIO
   }
 
   /**
-   * @param isCacheHit whether the worker handled the object lately
-   * @returns milliseconds of work
+   * @param isCacheHit whether the worker has the object cached
+   * @returns the mean service time, in milliseconds
    */
   getServiceTimeMs (isCacheHit: boolean): number {
     return isCacheHit ? this.hitMs : this.missMs
   }
 
   /**
-   * Work on an object that is at hand takes a third of the time or less, so that an
-   * answer's time tells which it was, with the middle in proportion as the border.
-   * @param serviceTimeMs of one answer, in milliseconds, the wait left out
-   * @returns whether the object was at hand
+   * Tells a cache hit from a miss by its service time. A hit takes a third of the time or
+   * less, so the geometric mean of the two estimates separates them.
+   * @param serviceTimeMs service time of one answer, without the wait, in milliseconds
+   * @returns whether the object was cached
    */
   isCacheHit (serviceTimeMs: number): boolean {
     return serviceTimeMs < Math.sqrt(this.hitMs * this.missMs)
   }
 
   /**
-   * Before, a request must not be refused for how long its work might take: it
-   * would never be learned that it takes less.
-   * @returns whether enough answers came to rely on
+   * Until then no request may be rejected for its expected service time. Otherwise an initial
+   * estimate that is too high would never be corrected.
+   * @returns whether enough answers were observed to rely on the estimate
    */
   get isLearned (): boolean {
     return this.sampleCount >= MIN_SAMPLES
   }
 
-  /** @returns the bytes of an answer, on average */
+  /** @returns the mean length of an answer, in bytes */
   getBytes (): number {
     return this.meanAnswerBytes
   }
 
   /**
-   * @param isCacheHit whether the worker handled the object lately
-   * @param serviceTimeMs from sending to the answer, less the way and the wait
-   * @param answerBytes the answer's length
+   * @param isCacheHit whether the worker had the object cached
+   * @param serviceTimeMs time from sending to the answer, less the round trip and the wait
+   * @param answerBytes length of the answer
    */
   observe (isCacheHit: boolean, serviceTimeMs: number, answerBytes: number): void {
     this.sampleCount++
--- a/packages/steering/src/common/entry/steeringDocument.ts
+++ b/packages/steering/src/common/entry/steeringDocument.ts
@@ -1,93 +1,93 @@
 /**
- * The operators' configuration as an entry VM uses it when it comes whole from
- * the platform's store: routes by host and path, services, client limits. Spans
- * are policy and therefore kept in milliseconds.
+ * The operators' configuration as an entry VM reads it from the platform's store: routes by
+ * host and path, services, limits for callers. Durations are policy and therefore kept in
+ * milliseconds rather than as deadlines.
  */
 
-/** Whether a request may be repeated. */
+/** Whether a request may be retried. */
 export enum RouteKind {
-  /** May run more than once. */
+  /** May be executed more than once. */
   Idempotent = 'idempotent',
-  /** Runs at most once. */
+  /** Executed at most once. */
   NotIdempotent = 'not-idempotent',
-  /** A large body; runs at most once. */
+  /** A large request body; executed at most once. */
   Upload = 'upload',
-  /** A large answer; may run more than once. */
+  /** A large answer; may be executed more than once. */
   Download = 'download',
-  /** A kind of a newer configuration: nothing is assumed, so it runs at most once. */
+  /** A kind that a newer configuration may define: nothing is assumed, so it is executed at most once. */
   Unknown = 'unknown'
 }
 
-/** One service of a route, with its part of the route's requests. */
+/** One service of a route, with its weight in the traffic split. */
 export interface WeightedService {
   readonly service: string
-  /** Relative to the other parts of the route; above 0. */
+  /** Relative to the other services of the route; above 0. */
   readonly weight: number
 }
 
-/** What operators want for the requests below one path of a host. */
+/** The policy for requests below one path of a host. */
 export interface RoutePolicy {
   readonly name: string
   readonly host: string
   /** Begins and ends with a slash. */
   readonly prefix: string
   readonly kind: RouteKind
-  /** One part or several; weights need not add up to anything. */
+  /** One service or several; the weights need not add up to a particular sum. */
   readonly parts: readonly WeightedService[]
-  /** The longest time a caller is kept waiting, in milliseconds. */
+  /** The longest time until a caller gets an answer, in milliseconds. */
   readonly timeoutMs: number
-  /** The time within which an answer is worth most, in milliseconds. */
+  /** The latency goal, within which an answer has its full value, in milliseconds. */
   readonly goalMs: number
-  /** The most workers that one request may be sent to. */
+  /** Limit on the workers that one request is sent to. */
   readonly attempts: number
-  /** 0 is the most urgent. */
+  /** Priority; 0 is the most urgent. */
   readonly priority: number
-  /** Whether workers answer faster for objects that they handled lately. */
+  /** Whether workers cache objects, so that requests for recently handled objects are faster. */
   readonly isSticky: boolean
-  /** The regions that alone may serve it; empty if all may. */
+  /** The only regions that may serve the requests; empty if all may. */
   readonly homeRegions: readonly string[]
-  /** Whether callers need no key, though there are client accounts. */
+  /** Whether callers need no key although there are client accounts. */
   readonly isOpen: boolean
 }
 
-/** What a client account may send, all entry VMs together. */
+/** The rate at which a client account may send to all entry VMs together. */
 export interface AccountQuota {
-  /** Requests a second in the long run. */
+  /** Requests per second on average. */
   readonly ratePerSecond: number
-  /** Requests beyond that at once. */
+  /** Additional requests at once. */
   readonly burst: number
 }
 
 /** One client account. */
 export interface AccountPolicy {
   readonly name: string
-  /** Digests of the keys that its callers hold; the keys themselves are kept nowhere. */
+  /** Digests of the keys that its callers use; the keys themselves are not stored. */
   readonly keyDigests: readonly string[]
-  /** Goes before the priority of the route; 0 is the most urgent. Undefined if it has none. */
+  /** Overrides the route's priority; 0 is the most urgent. Undefined if the account has none. */
   readonly priority: number | undefined
-  /** Undefined if it may send without limit. */
+  /** Undefined if the account has no limit. */
   readonly quota: AccountQuota | undefined
-  /** The regions that alone may serve it; empty if all may. */
+  /** The only regions that may serve the requests; empty if all may. */
   readonly homeRegions: readonly string[]
 }
 
-/** What operators say of a service's workers. */
+/** The policy for a service's workers. */
 export interface ServicePolicy {
   readonly name: string
   readonly healthPath: string
   /** Connections that a worker accepts from all entry VMs together. */
   readonly maxConnections: number
-  /** How long a worker is cold after its start, in milliseconds. */
+  /** Duration of a worker's cold start, in milliseconds. */
   readonly coldMs: number
-  /** Requests a second that a cold worker bears from all entry VMs together. */
+  /** Requests per second that a worker can handle during its cold start, from all entry VMs together. */
   readonly coldPerSecond: number
 }
 
-/** What callers may send. */
+/** Limits on callers' requests and connections. */
 export interface ClientLimits {
   readonly headerBytes: number
   readonly bodyBytes: number
-  /** How long a caller may take to send a request's head, in milliseconds. */
+  /** Time in which a caller must have sent a request's headers, in milliseconds. */
   readonly headerMs: number
   /** How long a connection may stay idle, in milliseconds. */
   readonly idleMs: number
@@ -95,12 +95,12 @@
 
 /** One version of the configuration. */
 export interface SteeringDocument {
-  /** Grows with each change. */
+  /** Increases with each change. */
   readonly version: number
   readonly routes: readonly RoutePolicy[]
   readonly services: readonly ServicePolicy[]
   readonly limits: ClientLimits
-  /** Undefined where callers need no keys; with an empty list every key is unknown. */
+  /** The client accounts; undefined where callers need no keys. With an empty list every key is unknown. */
   readonly accounts?: readonly AccountPolicy[] | undefined
 }
 
@@ -108,7 +108,7 @@
 
 /**
  * @param kind a route's kind
- * @returns whether its requests may run more than once
+ * @returns whether its requests may be executed more than once
  */
 export function isRetryable (kind: RouteKind): boolean {
   return RETRYABLE_KINDS.has(kind)
--- a/packages/steering/src/common/entry/upstreamTracker.ts
+++ b/packages/steering/src/common/entry/upstreamTracker.ts
@@ -1,55 +1,55 @@
-/** What one entry VM has seen of one worker: its load, how it answers, how cold it is. */
+/** What one entry VM has observed of one worker: its load, failures, speed and cold start. */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import { SendMeter } from '../rateLimits/sendMeter.js'
 import type { UpstreamEntry } from './records.js'
 
-/** The load that a worker reported in an answer. */
+/** The load that a worker reported with an answer. */
 export interface LoadReport {
   readonly running: number
   readonly waiting: number
   readonly slots: number
 }
 
-/** How much the newest request counts in the mean of failures; five in a row give two thirds. */
+/** Weight of the newest request in the mean failure rate; five failures in a row give two thirds. */
 const FAILURE_SMOOTHING_FACTOR = 0.2
-/** Without requests a worker's failures count half after so many milliseconds, so that it is tried again. */
+/** The failure rate of a worker without requests halves in this time, so that it is tried again. */
 const FAILURE_HALF_LIFE_MS = 1_500
-/** How much the newest answer counts in the mean of how slow a worker is. */
+/** Weight of the newest answer in the mean slowdown. */
 const SLOWDOWN_SMOOTHING_FACTOR = 0.3
-/** Without answers a worker's slowness counts half after so many milliseconds. */
+/** The slowdown of a worker without answers halves in this time. */
 const SLOWDOWN_HALF_LIFE_MS = 3_000
-/** A worker is rated slower than its service by no more than this factor. */
+/** Upper limit of a worker's slowdown relative to its service. */
 const MAX_SLOWDOWN_RATIO = 10
-/** A load report is taken as it stands for so many milliseconds: a request or two later the queue is another. */
+/** How long a load report is used as it is. After a request or two the queue is another. */
 const REPORT_VALIDITY_MS = 1_000
-/** How much the newest report counts in the mean load, which stands in for older reports. */
+/** Weight of the newest report in the mean load, which is used once the last report is too old. */
 const LOAD_SMOOTHING_FACTOR = 0.3
 /**
- * The mean load counts half after so many milliseconds without a report. In a large
- * fleet a VM hears of a worker every few seconds only; taking it for idle meanwhile
- * would send to full workers again and again.
+ * The mean load halves in this time without a report. In a large fleet a VM gets a report from
+ * a worker every few seconds only; if it took the worker for idle in between, it would send to
+ * full workers again and again.
  */
 const LOAD_HALF_LIFE_MS = 4_000
-/** A request that takes this many times as long as expected, and the span below, speaks against its worker. */
+/** A request that takes this many times as long as expected, and at least the time below, counts against its worker. */
 const OVERDUE_RATIO = 2.5
-/** Short requests are late by chance; none is called overdue before so many milliseconds. */
+/** Short requests are often late by chance; none is overdue before this time. */
 const MIN_OVERDUE_MS = 250
-/** How failed a worker counts while a request of its is overdue. */
+/** Minimum failure rate of a worker while one of its requests is overdue. */
 const OVERDUE_FAILURE_RATE = 0.8
 
-/** One request that a worker has not answered yet. */
+/** A request that a worker has not answered yet. */
 export interface OpenRequest {
   readonly overdueAt: Instant
 }
 
-/** One worker as this entry VM sees it. */
+/** One worker as observed by this entry VM. */
 export class UpstreamTracker {
-  /** Requests that were sent while the worker was cold. */
+  /** Requests sent during the worker's cold start. */
   readonly coldMeter = new SendMeter()
-  /** Requests that were sent while the worker named a rate limit. */
+  /** Requests sent while the worker reported a rate limit. */
   readonly rateMeter = new SendMeter()
-  /** Requests that would have gone there first, sent or not, while it named one. */
+  /** Requests for which the worker was the first choice, sent or not, while it reported a rate limit. */
   readonly demandMeter = new SendMeter()
   private coldUntil: Deadline
   private readonly inFlight = new Set<OpenRequest>()
@@ -61,73 +61,74 @@
   private failureRateAt: Instant = 0
   private slowdown = 1
   private slowdownAt: Instant = 0
-  /** Requests a second that the worker takes from all entry VMs together; undefined if it names no limit. */
+  /** Requests per second that the worker accepts from all entry VMs together; undefined if it reported no limit. */
   rateLimit: number | undefined
-  /** When it was named last, or a request was sent to find out whether it still holds. */
+  /** When the limit was last reported, or a request was last sent while it applied. */
   rateLimitAt: Instant = 0
-  /** Requests sent to it; 0 for a worker that never got one. */
+  /** Requests sent to the worker by this VM. */
   sentCount = 0
 
   /**
    * @param entry the worker's registration
-   * @param now the present, from which its coldness counts
-   * @param earlierStartTimes start times of earlier lives under the same id
+   * @param now the current time, from which its cold start counts
+   * @param earlierStartTimes start times of earlier processes under the same id
    */
   constructor (public entry: UpstreamEntry, now: Instant, private readonly earlierStartTimes: readonly number[] = []) {
     this.coldUntil = createDeadline(now, entry.coldMs)
   }
 
-  /** @returns the start times of all lives known under this id, the present one included */
+  /** @returns the start times of all processes known under this id, the present one included */
   listStartTimes (): number[] {
     const { startedAt } = this.entry
     return startedAt === undefined ? [...this.earlierStartTimes] : [...this.earlierStartTimes, startedAt]
   }
 
   /**
-   * A registration that was long on its way must not take the place of the one
-   * after it: the worker would count as started once more, with nothing at hand.
-   * @returns whether a registration is of a life that ended before the present one
+   * A delayed registration must not replace the one after it: the worker would count as
+   * restarted once more, with an empty cache.
+   * @returns whether a registration is from a process that ended before the present one
    */
   isEarlierStart ({ startedAt }: UpstreamEntry): boolean {
     return startedAt !== undefined && this.earlierStartTimes.includes(startedAt)
   }
 
   /**
-   * A worker that started again under its id holds nothing, and knows nothing of
-   * requests that were under way there.
-   * @returns whether a registration is of another life than the present one
+   * A worker that restarted under its id has an empty cache, and does not know the requests
+   * that were in flight there.
+   * @returns whether a registration is from another process than the present one
    */
   isOtherStart ({ startedAt }: UpstreamEntry): boolean {
     return startedAt !== undefined && this.entry.startedAt !== undefined && startedAt !== this.entry.startedAt
   }
 
   /**
-   * @param registration what the worker now says of itself
-   * @param now the present
+   * @param registration the worker's latest registration
+   * @param now the current time
    */
   update (registration: UpstreamEntry, now: Instant): void {
     this.entry = { ...registration, startedAt: registration.startedAt ?? this.entry.startedAt }
     if (registration.coldMs > 0) this.markCold(createDeadline(now, registration.coldMs))
   }
 
-  /** @param until when the worker is warm again; an earlier instant than the one known changes nothing */
+  /** @param until end of the worker's cold start; an instant before the known end is ignored */
   markCold (until: Deadline): void {
     this.coldUntil = Math.max(this.coldUntil, until)
   }
 
   /**
-   * @param now the present
-   * @returns whether the worker is slow after its start and bears few requests
+   * @param now the current time
+   * @returns whether the worker is in its cold start, and so slower and limited to few
+   *   requests
    */
   isCold (now: Instant): boolean {
     return !hasPassed(this.coldUntil, now)
   }
 
   /**
-   * Notes a request that is being sent.
-   * @param now the present
-   * @param expectedMs how long its answer should take, in milliseconds
-   * @returns the request, for `finish`
+   * Records a request that is being sent.
+   * @param now the current time
+   * @param expectedMs expected time until the answer, in milliseconds
+   * @returns the request, for {@link UpstreamTracker.finish}
    */
   start (now: Instant, expectedMs: number): OpenRequest {
     const request = { overdueAt: now + Math.max(MIN_OVERDUE_MS, expectedMs * OVERDUE_RATIO) }
@@ -142,14 +143,14 @@
     return request
   }
 
-  /** @param request what `start` returned, when it has ended in any way */
+  /** @param request the request as returned by {@link UpstreamTracker.start}, when it has ended in any way */
   finish (request: OpenRequest): void {
     this.inFlight.delete(request)
   }
 
   /**
-   * @param report what the worker said with an answer
-   * @param now when the answer came
+   * @param report the load reported with an answer
+   * @param now when the answer arrived
    */
   recordReport (report: LoadReport, now: Instant): void {
     this.meanLoad += LOAD_SMOOTHING_FACTOR * (report.running + report.waiting - this.meanLoad)
@@ -159,8 +160,8 @@
   }
 
   /**
-   * @param isFailure whether the worker failed the request, or refused it
-   * @param now the present
+   * @param isFailure whether the worker failed or rejected the request
+   * @param now the current time
    */
   recordResult (isFailure: boolean, now: Instant): void {
     const failureRate = this.getFailure(now)
@@ -168,15 +169,18 @@
     this.failureRateAt = now
   }
 
-  /** Notes that no connection to the worker could be made. @param now the present */
+  /**
+   * Records that no connection to the worker could be opened.
+   * @param now the current time
+   */
   recordUnreachable (now: Instant): void {
     this.failureRate = 1
     this.failureRateAt = now
   }
 
   /**
-   * @param latencyRatio how long an answer took, over how long was expected
-   * @param now the present
+   * @param latencyRatio actual latency of an answer, relative to the expected latency
+   * @param now the current time
    */
   recordLatencyRatio (latencyRatio: number, now: Instant): void {
     const slowdown = this.getSlowness(now)
@@ -185,8 +189,8 @@
   }
 
   /**
-   * @param now the present
-   * @returns the part of requests that the worker is believed to fail, 0 to 1
+   * @param now the current time
+   * @returns the worker's estimated failure rate, 0 to 1
    */
   getFailure (now: Instant): number {
     const decayed = this.failureRate * 2 ** (-(now - this.failureRateAt) / FAILURE_HALF_LIFE_MS)
@@ -194,8 +198,8 @@
   }
 
   /**
-   * @param now the present
-   * @returns how many times slower than its service the worker is, 1 if it is not
+   * @param now the current time
+   * @returns how many times slower than its service the worker is; 1 if it is not slower
    */
   getSlowness (now: Instant): number {
     const excess = Math.max(0, this.slowdown - 1)
@@ -203,8 +207,9 @@
   }
 
   /**
-   * @param now the present
-   * @returns the requests that the worker is believed to hold, of all entry VMs
+   * @param now the current time
+   * @returns the estimated number of requests of all entry VMs that the worker is running or
+   *   has queued
    */
   countHeld (now: Instant): number {
     if (this.lastReport === undefined) return this.inFlight.size
@@ -214,7 +219,7 @@
   }
 
   private hasOverdueRequest (now: Instant): boolean {
-    // Requests stand in the order in which they were sent; later ones are rarely due earlier.
+    // Requests are in the order in which they were sent; later ones are rarely due earlier.
     const oldest = this.inFlight.values().next().value
     return oldest !== undefined && oldest.overdueAt <= now
   }
--- a/packages/steering/src/common/entry/viewEvent.ts
+++ b/packages/steering/src/common/entry/viewEvent.ts
@@ -1,14 +1,14 @@
-/** What changes in the view of an entry VM. */
+/** Changes of an entry VM's view. */
 
-/** What changed in the view, for logs and for owners of connections. */
+/** The kinds of changes, for logs and for owners of connections. */
 export enum ViewChange {
   DocumentAdopted = 'document-adopted',
   UpstreamJoined = 'upstream-joined',
   UpstreamChanged = 'upstream-changed',
   UpstreamLeft = 'upstream-left',
-  /** The worker started anew under the id that it had. */
+  /** The worker restarted under the same id. */
   UpstreamRestarted = 'upstream-restarted',
-  /** A registration was overwritten with something that cannot be read. */
+  /** A record was overwritten with an unreadable value. */
   RecordUnreadable = 'record-unreadable',
   DomainEvacuated = 'domain-evacuated',
   DomainTakenBack = 'domain-taken-back',
@@ -22,15 +22,15 @@
   RequestReleased = 'request-released'
 }
 
-/** One change, with the record that made it. */
+/** One change, with the revision of the record that caused it. */
 export interface ViewEvent {
   readonly change: ViewChange
-  /** The worker's, domain's or node's name, or the configuration's version. */
+  /** The name of what changed, such as a worker, failure domain or entry VM, or the configuration's version. */
   readonly subject: string
   readonly revision: number
-  /** Why, where the change alone does not say. */
+  /** Details that the kind of change does not show. */
   readonly reason?: string
 }
 
-/** What a worker's registration changes. */
+/** The changes that a worker's registration may cause. */
 export type UpstreamChange = ViewChange.UpstreamJoined | ViewChange.UpstreamChanged | ViewChange.UpstreamRestarted
--- a/packages/steering/src/common/entry/weightedRoundRobin.ts
+++ b/packages/steering/src/common/entry/weightedRoundRobin.ts
@@ -1,17 +1,17 @@
 /**
- * Deals a route's requests to its services in the proportion of their weights, by
- * smooth weighted round robin: after any number of requests each part is within
- * one request of its share, where a random draw would stray by its square root.
+ * Distributes a route's requests over its services in proportion to their weights, by smooth
+ * weighted round robin. After any number of requests, each service is within one request of
+ * its share; random choice would deviate by the square root of the number of requests.
  */
 import type { RoutePolicy } from './steeringDocument.js'
 
-/** The parts of the routes of one version. */
+/** The distribution for the routes of one version of the configuration. */
 export class WeightedRoundRobin {
   private readonly currentWeightsByRoute = new Map<string, number[]>()
 
   /**
    * @param route the request's route
-   * @returns the service that this request goes to
+   * @returns the service that gets this request
    */
   choose (route: RoutePolicy): string {
     if (route.parts.length === 1) return route.parts[0]!.service
--- a/packages/steering/src/common/entry/workerPool.ts
+++ b/packages/steering/src/common/entry/workerPool.ts
@@ -1,4 +1,4 @@
-/** The workers of one service, and who of them may get a request for an object. */
+/** The workers of one service, and the selection of candidates for a request. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { Candidate } from './chooseUpstream.js'
 import { computePairHash, PAIR_HASH_RANGE } from '../lookup/rendezvous.js'
@@ -14,7 +14,7 @@
 import { CacheAffinity } from './cacheAffinity.js'
 import type { ServiceTimeEstimate } from './serviceTimeEstimate.js'
 
-/** Where this entry VM is, and whom it shares cold workers with. */
+/** What a pool needs to know about its entry VM and the entry VMs that share the workers. */
 export interface PoolContext {
   /** This entry VM's name. */
   readonly node: string
@@ -25,40 +25,43 @@
   readonly rateTolerance: RateTolerance
   /** @returns the names of all entry VMs, this one included */
   listNodes(): readonly string[]
-  /** @returns the same with their failure domains; another list after each change */
+  /** @returns the entry VMs with their failure domains; a new array after each change */
   listSendingNodes(): readonly SendingNode[]
 }
 
-/** A request, as far as the choice depends on it. */
+/** The properties of a request that decide which workers are candidates. */
 export interface CandidateRequest {
-  /** The regions that alone may serve it; empty if all may. */
+  /** The only regions that may serve the request; empty if all may. */
   readonly homeRegions: readonly string[]
-  /** What identifies the object; undefined if workers handle all alike. */
+  /** Identifies the object; undefined if workers cache nothing for the route. */
   readonly key: string | undefined
-  /** Workers that this request was offered to. */
+  /** Ids of the workers that this request was already sent to. */
   readonly tried: ReadonlySet<string>
 }
 
-/** How many workers of an object's ranking are weighed; the next ones only if none of these may get it. */
+/**
+ * Limit on the workers that are scored, in the order of the key's ranking; workers that can't
+ * get the request are skipped.
+ */
 const MAX_CANDIDATES = 5
 
-/** Slots in use, as a part, up to which there is room for any work, and from which there is none. */
+/** Slot utilization up to which the saturation is 0, and from which it is 1. */
 const SPARE_UTILIZATION_RATIO = 0.4
 const FULL_UTILIZATION_RATIO = 0.9
-/** A long queue at one worker must not make the whole service look busy. */
+/** Limits how much one worker with a long queue adds to the service's saturation. */
 const MAX_IN_FLIGHT_PER_SLOT = 2
-/** How long the figure is used, in milliseconds; it walks over all workers. */
+/** The saturation is cached this long, since computing it visits all workers. */
 const SATURATION_VALIDITY_MS = 100
 
-/** Which objects a worker with a rate limit is used for. */
+/** Which keys may be sent to a worker that reported a rate limit. */
 enum RateLimitScope {
-  /** As many as its limit leaves it, always the same. */
+  /** Only the fixed subset of keys that fits within the limit. */
   AssignedKeys = 'assigned',
-  /** Any. */
+  /** All keys. */
   AnyKey = 'tolerated'
 }
 
-/** What this VM may send to a worker, and what that was computed from. */
+/** The rate that this VM may send to a worker, with the inputs it was computed from. */
 interface CachedAllowance {
   readonly limit: number
   readonly nodes: readonly SendingNode[]
@@ -77,10 +80,10 @@
   private saturation = 0
   private saturationValidUntil: Instant = Number.NEGATIVE_INFINITY
 
-  /** @param context where this entry VM is */
+  /** @param context this entry VM and the VMs that share the workers */
   constructor (private readonly context: PoolContext) {}
 
-  /** @returns the workers, those that leave included */
+  /** @returns all registered workers, draining ones included */
   listTrackers (): Iterable<UpstreamTracker> {
     return this.trackers.values()
   }
@@ -94,8 +97,8 @@
   }
 
   /**
-   * @param now the present
-   * @returns 0 while slots are to spare, 1 when there are none
+   * @param now the current time
+   * @returns the saturation of the service, from 0 (free slots) to 1 (no free slots)
    */
   getBusyness (now: Instant): number {
     if (now < this.saturationValidUntil) return this.saturation
@@ -111,36 +114,40 @@
     return this.saturation
   }
 
-  /** @param tracker a worker that joined, or that changed what it says of itself */
+  /**
+   * Adds a worker, or updates one whose registration has changed.
+   * @param tracker the worker
+   */
   put (tracker: UpstreamTracker): void {
     this.trackers.set(tracker.entry.id, tracker)
     this.clearShares()
   }
 
-  /** @param workerId a worker that is gone */
+  /** @param workerId a worker that is no longer registered */
   remove (workerId: string): void {
     this.trackers.delete(workerId)
     this.cacheAffinity.removeWorker(workerId)
     this.clearShares()
   }
 
-  /** Forgets the rankings, since a failure domain was evacuated or taken back. */
+  /** Discards the cached rankings after an evacuation of a failure domain has started or ended. */
   clearRankings (): void {
     this.clearShares()
   }
 
   /**
    * @param request the request
-   * @param serviceTimes how long the route's requests take
-   * @param evacuated failure domains that get nothing
-   * @param now the present
-   * @returns the workers that may get it now
+   * @param serviceTimes service times of the request's route
+   * @param evacuatedDomains failure domains that get no requests
+   * @param now the current time
+   * @returns the workers that may get the request now
    */
-  listCandidates (request: CandidateRequest, serviceTimes: ServiceTimeEstimate, evacuated: ReadonlySet<string>, now: Instant): Candidate[] {
+  listCandidates (request: CandidateRequest, serviceTimes: ServiceTimeEstimate, evacuatedDomains: ReadonlySet<string>, now: Instant): Candidate[] {
     const key = request.key ?? String(now)
-    const ranks = this.getRanking(request.homeRegions, evacuated).rank(key)
+    const ranks = this.getRanking(request.homeRegions, evacuatedDomains).rank(key)
     const candidates = this.findCandidates(ranks, key, request, serviceTimes, now, RateLimitScope.AssignedKeys)
-    // Rather than refuse a caller, workers get other objects too, within what operators tolerate.
+    // Before rejecting the request, accept workers whose rate limit is used up by their assigned keys, within
+    // the configured tolerance.
     return candidates.length > 0 ? candidates : this.findCandidates(ranks, key, request, serviceTimes, now, RateLimitScope.AnyKey)
   }
 
@@ -165,7 +172,7 @@
       proximity: this.context.distances.getProximity(domain),
       roundTripMs: this.context.distances.getRoundTrip(domain),
       hand: cacheState,
-      // Without an object there is nothing to have at hand.
+      // Without a key there is no cache entry to hit.
       handChance: key === undefined ? 0 : this.cacheHits.getProbability(cacheState),
       missServiceTimeMs: serviceTimes.getServiceTimeMs(false),
       hitServiceTimeMs: serviceTimes.getServiceTimeMs(key !== undefined),
@@ -182,8 +189,9 @@
   }
 
   /**
-   * @param now the present
-   * @returns how long rate limits keep this VM from all workers that name one, in milliseconds; undefined if no worker does
+   * @param now the current time
+   * @returns how long rate limits keep this VM from sending to any of the workers that
+   *   reported one, in milliseconds; undefined if no worker did
    */
   getRateWaitMs (now: Instant): number | undefined {
     let freeAt: Instant | undefined
@@ -197,7 +205,7 @@
     if (tracker.rateLimit === undefined) return true
     const { windowMs, named: assigned, probeIntervalMs } = this.getAllowance(tracker, tracker.rateLimit)
     if (scope === RateLimitScope.AssignedKeys) {
-      // Without a part the request is a try whether the limit still holds; any object will do.
+      // Without an assigned rate, the request only probes whether the limit still applies; any key will do.
       if (assigned === 0) return now >= tracker.rateLimitAt + probeIntervalMs
       const demand = tracker.demandMeter.count(windowMs, now)
       if (!isAssigned(key, tracker.entry.id, assigned / Math.max(1, demand))) return false
@@ -205,7 +213,7 @@
     return this.getRateAvailableAt(tracker, now) <= now
   }
 
-  /** @returns from when a request may be sent, as far as the worker's rate limit and what operators tolerate go */
+  /** @returns when the worker's rate limit, with the configured tolerance, permits the next request */
   private getRateAvailableAt (tracker: UpstreamTracker, now: Instant): Instant {
     const { rateLimit, rateMeter, rateLimitAt } = tracker
     if (rateLimit === undefined) return now
@@ -213,16 +221,16 @@
     return tolerated === 0 ? Math.max(now, rateLimitAt + probeIntervalMs) : rateMeter.getFreeAt(tolerated, windowMs, now)
   }
 
-  private getAllowance ({ entry }: UpstreamTracker, limit: number): RateAllowance {
+  private getAllowance ({ entry: registration }: UpstreamTracker, limit: number): RateAllowance {
     const nodes = this.context.listSendingNodes()
-    const cached = this.allowancesByWorker.get(entry.id)
+    const cached = this.allowancesByWorker.get(registration.id)
     if (cached !== undefined && cached.limit === limit && cached.nodes === nodes) return cached.allowance
-    const allowance = divideRateLimit({ perSecond: limit, workerId: entry.id, tolerance: this.context.rateTolerance }, nodes, this.computeDemandByDomain(entry.id)).get(this.context.node)!
-    this.allowancesByWorker.set(entry.id, { limit, nodes, allowance })
+    const allowance = divideRateLimit({ perSecond: limit, workerId: registration.id, tolerance: this.context.rateTolerance }, nodes, this.computeDemandByDomain(registration.id)).get(this.context.node)!
+    this.allowancesByWorker.set(registration.id, { limit, nodes, allowance })
     return allowance
   }
 
-  /** @returns the part of a worker's requests that each failure domain is meant to bring */
+  /** @returns the share of each failure domain's requests that is intended for the worker */
   private computeDemandByDomain (workerId: string): Map<string, number> {
     const { regionOf: regionByDomain } = this.context
     this.sharesByDomain ??= computeWorkerShares(this.listReady(new Set()), regionByDomain)
@@ -231,10 +239,10 @@
     return demandByDomain
   }
 
-  private listReady (evacuated: ReadonlySet<string>): UpstreamEntry[] {
+  private listReady (evacuatedDomains: ReadonlySet<string>): UpstreamEntry[] {
     return [...this.trackers.values()]
-      .map(({ entry }) => entry)
-      .filter((entry) => entry.state === UpstreamState.Ready && !evacuated.has(entry.domain))
+      .map(({ entry: registration }) => registration)
+      .filter((entry) => entry.state === UpstreamState.Ready && !evacuatedDomains.has(entry.domain))
       .sort((left, right) => (left.id < right.id ? -1 : 1))
   }
 
@@ -244,30 +252,30 @@
     this.sharesByDomain = undefined
   }
 
-  private getRanking (homeRegions: readonly string[], evacuated: ReadonlySet<string>): KeyRanking {
+  private getRanking (homeRegions: readonly string[], evacuatedDomains: ReadonlySet<string>): KeyRanking {
     const name = homeRegions.join(' ')
     let ranking = this.rankings.get(name)
     if (ranking === undefined) {
-      ranking = this.buildRanking(homeRegions, evacuated)
+      ranking = this.buildRanking(homeRegions, evacuatedDomains)
       this.rankings.set(name, ranking)
     }
     return ranking
   }
 
-  private buildRanking (homeRegions: readonly string[], evacuated: ReadonlySet<string>): KeyRanking {
+  private buildRanking (homeRegions: readonly string[], evacuatedDomains: ReadonlySet<string>): KeyRanking {
     const { regionOf: regionByDomain, domain } = this.context
-    const workers = this.listReady(evacuated)
-      .filter((entry) => homeRegions.length === 0 || homeRegions.includes(regionByDomain.get(entry.domain) ?? ''))
+    const workers = this.listReady(evacuatedDomains)
+      .filter((registration) => homeRegions.length === 0 || homeRegions.includes(regionByDomain.get(registration.domain) ?? ''))
     const shares = computeWorkerShares(workers, regionByDomain).get(domain) ?? new Map<string, number>()
     return new KeyRanking(shares)
   }
 }
 
 /**
- * A worker whose limit is below its demand keeps a part of its objects, and the others
- * move on. If whatever comes too much moved on, the objects of all would be worked on
- * anew at several workers.
- * @param keptRatio of its objects that it keeps
+ * Whether a worker with a rate limit below its demand keeps a key. It keeps a fixed subset of
+ * its keys, and the others move to the next worker. If instead each request beyond the limit
+ * moved, all of the keys would be cache misses at several workers.
+ * @param keptRatio fraction of its keys that the worker keeps
  */
 function isAssigned (key: string, workerId: string, keptRatio: number): boolean {
   return computePairHash(key, `limit/${workerId}`) < PAIR_HASH_RANGE * keptRatio
--- a/packages/steering/src/common/entry/workerShares.ts
+++ b/packages/steering/src/common/entry/workerShares.ts
@@ -1,15 +1,15 @@
 /**
- * How much of the requests that arrive in each failure domain each worker is meant
- * to get, worked out alike by every entry VM from the same worker list, without
- * any talk among them.
+ * Computes which share of the requests that arrive in each failure domain is intended for each
+ * worker. Every entry VM computes the same shares from the same worker list, without
+ * coordination.
  *
- * Near workers are preferred, and every worker gets work in proportion to its
- * slots. Both together are an optimal-transport problem with equal supply in each
- * domain; Sinkhorn's scaling solves its smoothed form in a few rounds.
+ * Nearby workers are preferred, and every worker gets requests in proportion to its slots.
+ * Together this is an optimal transport problem with equal supply in each domain; Sinkhorn's
+ * algorithm solves its regularized form in a few iterations.
  */
 import { classifyProximity, Proximity } from './proximity.js'
 
-/** A worker, as far as its share depends on it. */
+/** The properties of a worker that its share depends on. */
 export interface WorkerCapacity {
   readonly id: string
   readonly domain: string
@@ -17,11 +17,12 @@
 }
 
 /**
- * How strongly nearness counts. With even capacity it keeps about nine tenths of a
- * domain's requests in its region; larger values change little, smaller ones send
- * bytes between regions for nothing. All domains of a region count alike: callers
- * of both ask for the same objects, and preferring a domain's own workers gave each
- * object a worker for either, both of which had to work on it anew.
+ * Weight of a worker by its proximity to the requests. With evenly distributed capacity, these
+ * values keep about nine tenths of a domain's requests in its region. A stronger preference
+ * changes little; a weaker one transfers bytes between regions for nothing. All domains of a
+ * region have the same weight: their callers request the same objects, and if each domain
+ * preferred its own workers, each object would have one worker per domain, with a cache miss
+ * at both.
  */
 const PREFERENCE_BY_PROXIMITY: Readonly<Record<Proximity, number>> = {
   [Proximity.SameDomain]: 1,
@@ -29,21 +30,21 @@
   [Proximity.OtherRegion]: 0.05
 }
 /**
- * A worker may get this many times its even part where that keeps requests near.
- * Objects kept at hand are a few dozen a worker; more than that many are worked on
- * anew each time, which costs far more than the way to another region.
+ * Limit on a worker's load relative to its even share, for keeping requests nearby. A worker
+ * caches only a few dozen objects. With more, each request is a cache miss, which costs far
+ * more than the round trip to another region.
  */
 const MAX_LOAD_RATIO = 1.05
-/** Rounds of scaling; the shares then add up within a percent with the preferences above. */
+/** Iterations of the scaling; with the preferences above, the shares then add up within a percent. */
 const SCALING_ROUNDS = 30
 
-/** Shares by worker id, for requests that arrive in one domain. */
+/** Shares by worker id, for requests that arrive in one failure domain. */
 export type WorkerShares = ReadonlyMap<string, number>
 
 /**
- * @param workers the workers that may get work
+ * @param workers the workers that may get requests
  * @param regionByDomain all failure domains with their regions
- * @returns the shares of the workers for each domain; each domain's add up to 1
+ * @returns the shares of the workers for each domain; each domain's shares add up to 1
  */
 export function computeWorkerShares (workers: readonly WorkerCapacity[], regionByDomain: ReadonlyMap<string, string>): Map<string, WorkerShares> {
   const domains = [...regionByDomain.keys()]
@@ -57,7 +58,7 @@
   return new Map(domains.map((domain, row) => [domain, new Map(workers.map(({ id }, column) => [id, matrix[row]![column]!]))]))
 }
 
-/** Scales down only: a far worker need not get its even part. */
+/** Scales down only: a remote worker need not get its even share. */
 function scaleColumns (matrix: number[][], targets: readonly number[]): void {
   for (const [column, target] of targets.entries()) {
     let sum = 0
