--- a/packages/steering/src/common/entry/recordProof.ts
+++ b/packages/steering/src/common/entry/recordProof.ts
@@ -1,10 +1,6 @@
 /**
- * Tracks until when the records are proven to have been the newest in the store: a lower bound
- * on the time of the store's state that they reflect.
- *
- * Guards against records that look current but are stale: an idle watch, a delayed answer and
- * a paused process all look alike. What counts is when a request was sent. Its answer may have
- * been delayed for any time, but reflects the store's state after the request.
+ * Tracks the last instant at which the records are proven to have been the newest: a lower
+ * bound on the time of the store's state that they reflect.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 
--- a/packages/steering/src/common/entry/recordTable.ts
+++ b/packages/steering/src/common/entry/recordTable.ts
@@ -21,8 +21,8 @@
  */
 export const REREGISTRATION_GRACE_MS = 2_100
 /**
- * Shorter outages let no lease expire, since that takes three missed renewals. Keeping removed
- * records after them would only delay true removals.
+ * A lease expires after three missed renewals. After shorter outages, keeping removed records
+ * would only delay true removals.
  */
 const MIN_OUTAGE_MS = 2_000
 
@@ -232,9 +232,9 @@
   }
 
   /**
-   * Records a gap before a snapshot, which does not show what was written and removed in it. A
-   * peer that knows no more than this VM did needs nothing of it; one that knows a part needs
-   * a full update.
+   * Records the gap before a snapshot, which does not show what was written and removed again
+   * since the previous revision. A peer that knows no more than this VM did has not seen that
+   * either; one that knows a part of the gap needs a full update.
    */
   private recordGap (until: number): void {
     if (until <= this.storeRevision) return
--- a/packages/steering/src/common/entry/upstreamTracker.ts
+++ b/packages/steering/src/common/entry/upstreamTracker.ts
@@ -21,14 +21,14 @@
 const SLOWDOWN_HALF_LIFE_MS = 3_000
 /** Upper limit of a worker's slowdown relative to its service. */
 const MAX_SLOWDOWN_RATIO = 10
-/** How long a load report is used as it is. After a request or two the queue is another. */
+/** How long a load report is used as it is; a request or two later the queue has changed. */
 const REPORT_VALIDITY_MS = 1_000
 /** Weight of the newest report in the mean load, which is used once the last report is too old. */
 const LOAD_SMOOTHING_FACTOR = 0.3
 /**
  * The mean load halves in this time without a report. In a large fleet a VM gets a report from
- * a worker every few seconds only; if it took the worker for idle in between, it would send to
- * full workers again and again.
+ * a worker every few seconds only; if it considered the worker idle in between, it would send
+ * to full workers again and again.
  */
 const LOAD_HALF_LIFE_MS = 4_000
 /** A request that takes this many times as long as expected, and at least the time below, counts against its worker. */
--- a/packages/steering/src/common/entry/workerPool.ts
+++ b/packages/steering/src/common/entry/workerPool.ts
@@ -146,8 +146,8 @@
     const key = request.key ?? String(now)
     const ranks = this.getRanking(request.homeRegions, evacuatedDomains).rank(key)
     const candidates = this.findCandidates(ranks, key, request, serviceTimes, now, RateLimitScope.AssignedKeys)
-    // Before rejecting the request, accept workers whose rate limit is used up by their assigned keys, within
-    // the configured tolerance.
+    // Rather than reject the request, allow keys that are not assigned to a worker, within the configured
+    // tolerance.
     return candidates.length > 0 ? candidates : this.findCandidates(ranks, key, request, serviceTimes, now, RateLimitScope.AnyKey)
   }
 
--- a/packages/steering/test/common/entry/decideAccess.test.ts
+++ b/packages/steering/test/common/entry/decideAccess.test.ts
@@ -15,15 +15,15 @@
 
 const ACCOUNTS = new AccountTable([createAccount('a', ['d1', 'd2']), createAccount('b', ['d3'])])
 
-describe('whether a key lets a request run', () => {
-  it('runs for the account that holds the key, while the records are proven to be new', () => {
+describe('access by key', () => {
+  it('allows the request for the account that holds the key, while the records are proven to be fresh', () => {
     assert.equal(decideAccess({ accounts: ACCOUNTS, route: ROUTE, keyDigest: 'd2', proofAgeMs: 4_500 }, BOUNDS).account?.name, 'a')
     assert.deepEqual(decideAccess({ accounts: ACCOUNTS, route: ROUTE, keyDigest: 'd2', proofAgeMs: 4_501 }, BOUNDS), { end: AccessEnd.RecordsStale })
   })
 
-  it('calls a key unknown only while the records are new enough to say so', () => {
-    // A key was added a moment ago; a VM that is cut off told its callers 401, which they
-    // do not repeat, for a key that every configuration in force allowed.
+  it('reports a key as unknown only while the records are fresh enough', () => {
+    // Guards against a VM that is cut off and denies a key that was just added: it returned 401, which callers
+    // do not retry, for a key that is valid in every configuration in force.
     assert.equal(decideAccess({ accounts: ACCOUNTS, route: ROUTE, keyDigest: 'new', proofAgeMs: 3_000 }, BOUNDS).end, AccessEnd.KeyUnknown)
     assert.equal(decideAccess({ accounts: ACCOUNTS, route: ROUTE, keyDigest: 'new', proofAgeMs: 3_001 }, BOUNDS).end, AccessEnd.RecordsStale)
     assert.equal(decideAccess({ accounts: ACCOUNTS, route: ROUTE, keyDigest: undefined, proofAgeMs: Infinity }, BOUNDS).end, AccessEnd.RecordsStale)
@@ -36,15 +36,15 @@
     assert.deepEqual(decideAccess({ accounts: undefined, route: ROUTE, keyDigest: undefined, proofAgeMs: Infinity }, BOUNDS), { end: AccessEnd.Allowed })
   })
 
-  it('knows no key of an account whose keys were all taken away', () => {
+  it('reports all keys as unknown for an account whose keys were all revoked', () => {
     const accounts = new AccountTable([createAccount('a', [])])
     assert.equal(decideAccess({ accounts, route: ROUTE, keyDigest: 'd1', proofAgeMs: 0 }, BOUNDS).end, AccessEnd.KeyUnknown)
   })
 })
 
-describe('homes of route and account', () => {
-  it('let a request run only while the records are proven to be new, with or without accounts', () => {
-    // Guards against requests that run outside homes which changed while their VM was cut off.
+describe('home regions of route and account', () => {
+  it('allow a request only while the records are proven to be fresh, with or without accounts', () => {
+    // Guards against requests that run outside home regions that changed while their VM was cut off.
     const homed = { ...ROUTE, homeRegions: ['north'] }
     const accounts = new AccountTable([createAccount('a', ['d1'], ['north'])])
     const cases = [
@@ -60,7 +60,7 @@
     assert.equal(decideAccess({ accounts: undefined, route: ROUTE, keyDigest: undefined, proofAgeMs: Infinity }, BOUNDS).end, AccessEnd.Allowed)
   })
 
-  it('both bind, in any combination', () => {
+  it('both apply, in any combination', () => {
     const regions = fc.uniqueArray(fc.constantFrom<string>('north', 'south', 'east'))
     fc.assert(fc.property(regions, regions, (routeHomes, accountHomes) => {
       const homes = mergeHomes({ ...ROUTE, homeRegions: routeHomes }, createAccount('a', [], accountHomes))
--- a/packages/steering/test/common/entry/documentParts.test.ts
+++ b/packages/steering/test/common/entry/documentParts.test.ts
@@ -25,7 +25,7 @@
   return { kind: RecordKind.Document, key: KEY, revision, value }
 }
 
-/** What a VM decides by, whatever the order in which it learned of the parts. */
+/** The configuration of a VM, independent of the order of its parts. */
 function toComparable (table: RecordTable): unknown {
   const record = table.get(KEY)
   if (record?.kind !== RecordKind.Document) return undefined
@@ -33,71 +33,72 @@
   return { version, routes: routes.map((route) => JSON.stringify(route)).sort(), accounts: accounts?.map((account) => JSON.stringify(account)).sort() }
 }
 
-/** As on the way between two VMs. */
-function toReceived<T> (value: T): T {
+/** Encodes and decodes a value as in a message between VMs. */
+function toDecoded<T> (value: T): T {
   return JSON.parse(JSON.stringify(value)) as T
 }
 
-/** Lets one table learn from another; asks for everything if what it is told cannot be put together. */
-function updateFrom (pupil: RecordTable, teacher: RecordTable): void {
-  const news = teacher.readNewsAfter(pupil.revision)
-  if (news === undefined || pupil.applyNews(toReceived(news), 0) !== undefined) return
-  const all = teacher.readNewsAfter(0)
-  assert.notEqual(pupil.applyNews(toReceived(all!), 0), undefined)
+/** Updates one replica from another; requests a full update if a partial one does not fit. */
+function applyUpdateFrom (receiver: RecordTable, sender: RecordTable): void {
+  const update = sender.readNewsAfter(receiver.revision)
+  if (update === undefined || receiver.applyNews(toDecoded(update), 0) !== undefined) return
+  const fullUpdate = sender.readNewsAfter(0)
+  assert.notEqual(receiver.applyNews(toDecoded(fullUpdate!), 0), undefined)
 }
 
-function updateAlike (pupil: RecordTable, teacher: RecordTable): void {
-  updateFrom(pupil, teacher)
-  if (pupil.revision === teacher.revision) assert.deepEqual(toComparable(pupil), toComparable(teacher))
+function expectReplicated (receiver: RecordTable, sender: RecordTable): void {
+  applyUpdateFrom(receiver, sender)
+  if (receiver.revision === sender.revision) assert.deepEqual(toComparable(receiver), toComparable(sender))
 }
 
-describe('a configuration told in parts', () => {
-  it('tells what changed, and nothing else', () => {
+describe('a configuration sent in parts', () => {
+  it('sends only the parts that changed', () => {
     const routes = Array.from({ length: 1_000 }, (_, index) => createRoute(`r${index}`, 1_000))
-    const teacher = new RecordTable()
-    const pupil = new RecordTable()
-    for (const table of [teacher, pupil]) table.applySnapshot({ revision: 5, records: [createRecord(createDocument(1, routes), 5)] }, 0)
+    const sender = new RecordTable()
+    const receiver = new RecordTable()
+    for (const table of [sender, receiver]) table.applySnapshot({ revision: 5, records: [createRecord(createDocument(1, routes), 5)] }, 0)
     const later = createDocument(2, [...routes.slice(2), createRoute('r0', 2_000), createRoute('new', 1_000)])
-    teacher.applyChanges({ revision: 6, written: [createRecord(later, 6)], removed: [] }, 0)
-    const news = teacher.readNewsAfter(5)!
-    assert.deepEqual(news.written, [])
-    assert.deepEqual(news.document?.written.route.map((value) => (value as RoutePolicy).name), ['r0', 'new'])
-    assert.deepEqual(news.document?.removed.route, ['h.example /r1/'])
-    updateAlike(pupil, teacher)
+    sender.applyChanges({ revision: 6, written: [createRecord(later, 6)], removed: [] }, 0)
+    const update = sender.readNewsAfter(5)!
+    assert.deepEqual(update.written, [])
+    assert.deepEqual(update.document?.written.route.map((value) => (value as RoutePolicy).name), ['r0', 'new'])
+    assert.deepEqual(update.document?.removed.route, ['h.example /r1/'])
+    expectReplicated(receiver, sender)
   })
 
-  it('keeps apart that callers need no keys and that no key holds', () => {
-    const teacher = new RecordTable()
-    const pupil = new RecordTable()
+  it('distinguishes that callers need no keys from having no valid key', () => {
+    const sender = new RecordTable()
+    const receiver = new RecordTable()
     for (const [index, accounts] of [undefined, [createAccount('a', ['k'])], [], undefined].entries()) {
-      teacher.applyChanges({ revision: index + 5, written: [createRecord(createDocument(index + 1, [], accounts), index + 5)], removed: [] }, 0)
-      updateAlike(pupil, teacher)
-      const record = pupil.get(KEY)
+      sender.applyChanges({ revision: index + 5, written: [createRecord(createDocument(index + 1, [], accounts), index + 5)], removed: [] }, 0)
+      expectReplicated(receiver, sender)
+      const record = receiver.get(KEY)
       assert.deepEqual(record?.kind === RecordKind.Document ? record.value.accounts?.map(({ name }) => name) : 'none', accounts?.map(({ name }) => name))
     }
   })
 
-  it('is not put together on another configuration than it was told for', () => {
-    // Two VMs watch the store. One reads everything anew and never sees that a route
-    // changed and changed back; a third heard of the change from the other one. Told
-    // only what the first saw change, it would keep the route's wrong form for ever.
+  it('is not applied to another base than it was built for', () => {
+    // Two VMs watch the store. One reads a snapshot and misses that a route changed and changed back; a third VM
+    // got the change from the other one. If it received only the changes that the first VM saw, it would keep
+    // the route's wrong state forever.
     const before = createDocument(1, [createRoute('a', 1_000), createRoute('b', 1_000)])
     const between = createDocument(2, [createRoute('a', 9_000), createRoute('b', 1_000)])
     const after = createDocument(3, [createRoute('a', 1_000), createRoute('b', 2_000)])
-    const teacher = new RecordTable()
-    teacher.applySnapshot({ revision: 5, records: [createRecord(before, 5)] }, 0)
-    teacher.applyChanges({ revision: 9, written: [createRecord(after, 9)], removed: [] }, 0)
-    const pupil = new RecordTable()
-    pupil.applySnapshot({ revision: 7, records: [createRecord(between, 7)] }, 0)
-    assert.equal(pupil.applyNews(toReceived(teacher.readNewsAfter(7)!), 0), undefined)
-    assert.equal(pupil.revision, 7)
-    updateAlike(pupil, teacher)
+    const sender = new RecordTable()
+    sender.applySnapshot({ revision: 5, records: [createRecord(before, 5)] }, 0)
+    sender.applyChanges({ revision: 9, written: [createRecord(after, 9)], removed: [] }, 0)
+    const receiver = new RecordTable()
+    receiver.applySnapshot({ revision: 7, records: [createRecord(between, 7)] }, 0)
+    assert.equal(receiver.applyNews(toDecoded(sender.readNewsAfter(7)!), 0), undefined)
+    assert.equal(receiver.revision, 7)
+    expectReplicated(receiver, sender)
   })
 
-  it('is the same at all VMs whatever each has seen of its changes', () => {
-    // Two VMs read the store, by each change or anew; two others learn from either and from each other.
+  it('is the same at all VMs whichever of its changes each has seen', () => {
+    // Two VMs read the store, by single changes or snapshots; two others replicate from them and from each
+    // other.
     const steps = fc.array(fc.record({
-      action: fc.constantFrom('change', 'change', 'change back', 'add', 'remove', 'accounts', 'watch 0', 'watch 1', 'read 0', 'read 1', 'learn 2 0', 'learn 2 1', 'learn 3 0', 'learn 3 2', 'learn 2 3', 'new 3'),
+      action: fc.constantFrom('change', 'change', 'change back', 'add', 'remove', 'accounts', 'watch 0', 'watch 1', 'read 0', 'read 1', 'update 2 0', 'update 2 1', 'update 3 0', 'update 3 2', 'update 2 3', 'restart 3'),
       route: fc.integer({ min: 0, max: 4 }).map(String)
     }), { maxLength: 120 })
     fc.assert(fc.property(steps, (list) => {
@@ -116,8 +117,8 @@
         accounts: (route) => { accounts = accounts === undefined ? [createAccount(route, [route])] : accounts.length === 0 ? undefined : []; put() },
         watch: (_route, one) => { tables[one]!.applyChanges({ revision, written: written.filter((record) => record.revision > tables[one]!.revision), removed: [] }, 0) },
         read: (_route, one) => { tables[one]!.applySnapshot({ revision, records: [written.at(-1)!] }, 0) },
-        learn: (_route, one, other) => { updateAlike(tables[one]!, tables[other]!) },
-        new: (_route, one) => { tables[one] = new RecordTable() }
+        update: (_route, one, other) => { expectReplicated(tables[one]!, tables[other]!) },
+        restart: (_route, one) => { tables[one] = new RecordTable() }
       }
       for (const { action, route } of list) {
         const [verb, one, other] = action.split(' ')
@@ -125,8 +126,8 @@
         handler(route, Number(one), Number(other))
       }
       tables[0]!.applySnapshot({ revision, records: [written.at(-1)!] }, 0)
-      updateAlike(tables[2]!, tables[0]!)
-      updateAlike(tables[3]!, tables[2]!)
+      expectReplicated(tables[2]!, tables[0]!)
+      expectReplicated(tables[3]!, tables[2]!)
       for (const table of [tables[2]!, tables[3]!]) assert.deepEqual(toComparable(table), toComparable(tables[0]!))
     }), { seed: SEED, numRuns: 3_000 })
   })
--- a/packages/steering/test/common/entry/followPlan.test.ts
+++ b/packages/steering/test/common/entry/followPlan.test.ts
@@ -16,13 +16,16 @@
   return new Map(nodes.map((node) => [node.name, planFollowing(nodes, node, regionOf)]))
 }
 
-/** The steps from the store to a VM by its first two sources; undefined if it is not reached without the VMs that are gone. */
-function countHops (plans: ReadonlyMap<string, FollowPlan>, gone: ReadonlySet<string>): Map<string, number> {
-  const hops = new Map([...plans].filter(([name, { isFollower }]) => isFollower && !gone.has(name)).map(([name]) => [name, 0]))
+/**
+ * Counts the hops from the store to each VM over its first two sources. VMs that are not
+ * reached while some have failed are missing.
+ */
+function countHops (plans: ReadonlyMap<string, FollowPlan>, failedNodes: ReadonlySet<string>): Map<string, number> {
+  const hops = new Map([...plans].filter(([name, { isFollower }]) => isFollower && !failedNodes.has(name)).map(([name]) => [name, 0]))
   for (let hop = 1, hasGrown = true; hasGrown; hop++) {
     hasGrown = false
     for (const [name, { sources }] of plans) {
-      if (hops.has(name) || gone.has(name)) continue
+      if (hops.has(name) || failedNodes.has(name)) continue
       if (!sources.slice(0, 2).some((source) => hops.get(source.name) === hop - 1)) continue
       hops.set(name, hop)
       hasGrown = true
@@ -34,8 +37,8 @@
 const fleets = fc.array(fc.tuple(fc.constantFrom(...REGION_OF.keys()), fc.constantFrom(undefined, 7, 7.5, 10, 140)), { minLength: 1, maxLength: 200 })
   .map((places) => places.map(([domain, linkMbps], index) => createNode(index, domain, linkMbps)))
 
-describe('who follows the store', () => {
-  it('is two VMs of each region at most, in two domains where it has two', () => {
+describe('the replication plan', () => {
+  it('lets at most two VMs of each region watch the store, in two domains where the region has two', () => {
     fc.assert(fc.property(fleets, (nodes) => {
       const plans = planAll(nodes)
       for (const region of new Set(REGION_OF.values())) {
@@ -48,10 +51,10 @@
     }), { seed: SEED })
   })
 
-  it('is a VM with a large link wherever a domain has one, and such a VM tells the others', () => {
-    // Each change of a configuration of 400 kB reached the VMs that watch the store whole. At
-    // 7 Mbit/s one filled their links for half a second, and their callers' requests waited,
-    // while VMs of the same domain with twenty times the room heard of it from them.
+  it('prefers VMs with fast links for watching the store and for updating others', () => {
+    // VMs that watch the store receive each change of a 400 kB configuration in full. On a link of 7 Mbit/s that
+    // took half a second during which callers' requests waited, while VMs of the same domain with twenty times
+    // the bandwidth got the change from them.
     fc.assert(fc.property(fleets, (nodes) => {
       const withLarge = [...nodes, ...[...REGION_OF.keys()].flatMap((domain, index) => [1_000, 1_001].map((base) => createNode(base + 2 * index, domain, 140)))]
       for (const { isFollower, name, sources } of [...planAll(withLarge)].map(([name, plan]) => ({ name, ...plan }))) {
@@ -62,18 +65,18 @@
     }), { seed: SEED })
   })
 
-  it('reaches every VM by its first two sources, also while any one VM is gone and still listed', () => {
+  it('reaches every VM over its first two sources, also while any one VM has failed but is still listed', () => {
     fc.assert(fc.property(fleets, fc.nat(), (nodes, index) => {
-      const gone = nodes[index % nodes.length]!
+      const failedNode = nodes[index % nodes.length]!
       const plans = planAll(nodes)
       assert.equal(countHops(plans, new Set()).size, nodes.length)
-      const region = REGION_OF.get(gone.domain)
+      const region = REGION_OF.get(failedNode.domain)
       const isOnlyFollower = nodes.filter(({ domain }) => REGION_OF.get(domain) === region).length <= 1
-      if (!isOnlyFollower) assert.equal(countHops(plans, new Set([gone.name])).size, nodes.length - 1)
+      if (!isOnlyFollower) assert.equal(countHops(plans, new Set([failedNode.name])).size, nodes.length - 1)
     }), { seed: SEED })
   })
 
-  it('never makes a VM learn from itself, and gives it VMs of other regions to ask', () => {
+  it('never makes a VM its own source, and includes sources in other regions', () => {
     fc.assert(fc.property(fleets, (nodes) => {
       for (const [name, { sources }] of planAll(nodes)) {
         assert.ok(!sources.some((source) => source.name === name))
@@ -86,27 +89,27 @@
     }), { seed: SEED })
   })
 
-  it('stays alike for the others when a VM of another domain comes or goes', () => {
+  it('does not change for other domains when a VM that is not a follower joins or leaves', () => {
     fc.assert(fc.property(fleets, fc.nat(), (nodes, index) => {
-      const leaver = nodes[index % nodes.length]!
+      const leavingNode = nodes[index % nodes.length]!
       const before = planAll(nodes)
-      if (before.get(leaver.name)!.isFollower) return
-      const after = planAll(nodes.filter((node) => node !== leaver))
+      if (before.get(leavingNode.name)!.isFollower) return
+      const after = planAll(nodes.filter((node) => node !== leavingNode))
       for (const [name, plan] of after) {
         const { domain } = nodes.find((node) => node.name === name)!
-        if (domain === leaver.domain) continue
+        if (domain === leavingNode.domain) continue
         assert.deepEqual(plan.sources.slice(0, 2), before.get(name)!.sources.slice(0, 2))
       }
     }), { seed: SEED })
   })
 
-  it('has 42 followers of 4,600 VMs, five steps and eighteen listeners a VM at most', () => {
-    // 21 regions with 82 failure domains, as expected in two years. Each change reaches
-    // every VM; had each watched the store, it would cost 4,600 calls.
+  it('has 42 followers for 4,600 VMs, at most five hops, and at most eighteen receivers per VM', () => {
+    // The fleet expected in two years: 21 regions with 82 failure domains. Each change reaches every VM; if each
+    // of them watched the store, a change would cost 4,600 calls.
     const domains = Array.from({ length: 82 }, (_, index) => `d${index}`)
     const regionOf = new Map(domains.map((domain, index) => [domain, `r${index % 21}`]))
     const nodes = Array.from({ length: 4_600 }, (_, index) => createNode(index, domains[index % 82]!))
-    // Plans are worked out for one region whole; all are built alike.
+    // One region is planned completely; the others are planned in the same way.
     const own = nodes.filter(({ domain }) => regionOf.get(domain) === 'r0')
     const plans = new Map(own.map((node) => [node.name, planFollowing(nodes, node, regionOf)]))
     assert.equal([...plans.values()].filter(({ isFollower }) => isFollower).length, 2)
@@ -118,6 +121,6 @@
       if (isFollower) continue
       for (const { name } of sources.slice(0, 2)) listeners.set(name, (listeners.get(name) ?? 0) + 1)
     }
-    assert.ok(Math.max(...listeners.values()) <= 18, `${Math.max(...listeners.values())} listeners`)
+    assert.ok(Math.max(...listeners.values()) <= 18, `${Math.max(...listeners.values())} receivers`)
   })
 })
--- a/packages/steering/test/common/entry/recordProof.test.ts
+++ b/packages/steering/test/common/entry/recordProof.test.ts
@@ -6,8 +6,8 @@
 
 const SEED = 20261203
 
-describe('the proof that records are the newest', () => {
-  it('counts from when the question was sent, once its changes are known', () => {
+describe('the freshness proof of the records', () => {
+  it('counts from when the request was sent, once all changes up to the answered revision are known', () => {
     const proof = new RecordProof()
     assert.equal(proof.getAgeMs(1_000), Infinity)
     proof.recordReading({ askedAt: 1_000, revision: 7 }, 6)
@@ -16,35 +16,35 @@
     assert.equal(proof.getAgeMs(1_500), 500)
   })
 
-  it('never counts changes that are not known, in whatever order answers and changes come', () => {
-    // Each question is answered by the revision at some instant after it was sent. The
-    // proof must not be later than the last question all of whose changes are known.
+  it('never covers unknown changes, in whatever order answers and changes arrive', () => {
+    // Each answer holds the store's revision at some instant after its request was sent. The proof must not be
+    // later than the last request of which all changes are known.
     const step = fc.record({ isAnswer: fc.boolean(), bySteps: fc.nat(4) })
     fc.assert(fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
       const proof = new RecordProof()
-      const asked: Array<{ askedAt: number, revision: number }> = []
+      const readings: Array<{ askedAt: number, revision: number }> = []
       let revision = 0
       let known = 0
       for (const [now, { isAnswer, bySteps }] of steps.entries()) {
         revision += bySteps
         if (isAnswer) {
-          asked.push({ askedAt: now, revision })
+          readings.push({ askedAt: now, revision })
           proof.recordReading({ askedAt: now, revision }, known)
         } else {
           known = Math.min(revision, known + bySteps)
           proof.handleRevision(known)
         }
-        const sure = asked.filter((reading) => reading.revision <= known).map(({ askedAt }) => askedAt)
-        assert.ok(proof.provenAt <= Math.max(Number.NEGATIVE_INFINITY, ...sure))
+        const provenTimes = readings.filter((reading) => reading.revision <= known).map(({ askedAt }) => askedAt)
+        assert.ok(proof.provenAt <= Math.max(Number.NEGATIVE_INFINITY, ...provenTimes))
       }
     }), { seed: SEED })
   })
 })
 
-describe('the clock of another VM', () => {
-  it('places its instants no later than they were, whatever holds lines up', () => {
-    // A line waits in a buffer while this VM is paused, and tells of a proof that was new
-    // as it was written. Placed by its arrival the proof would be as old as nothing.
+describe('the clock of a peer', () => {
+  it('is never converted to later instants than the true ones, however messages are delayed', () => {
+    // A message that reports a recent proof waits in a buffer while this VM is paused. If its arrival time
+    // counted, old records would appear to be proven just now.
     const line = fc.record({ spanMs: fc.nat(60_000), delayMs: fc.nat(20_000) })
     fc.assert(fc.property(fc.array(line, { minLength: 1, maxLength: 30 }), fc.integer({ min: -1_000_000, max: 1_000_000 }), fc.nat(5_000), fc.integer({ min: -500, max: 500 }), (lines, offsetMs, wayMs, ratePpm) => {
       const askedAt = 500
@@ -54,14 +54,14 @@
       for (const { spanMs, delayMs } of lines) {
         writtenAt += spanMs
         arrivedAt = Math.max(arrivedAt, writtenAt + delayMs)
-        const told = offsetMs + writtenAt * (1 + ratePpm / 1_000_000)
-        clock.recordLine(told, arrivedAt)
-        assert.ok(clock.toOwnInstant(told) <= writtenAt + 0.001, `${clock.toOwnInstant(told)} for ${writtenAt}`)
+        const clockMs = offsetMs + writtenAt * (1 + ratePpm / 1_000_000)
+        clock.recordLine(clockMs, arrivedAt)
+        assert.ok(clock.toOwnInstant(clockMs) <= writtenAt + 0.001, `${clock.toOwnInstant(clockMs)} for ${writtenAt}`)
       }
     }), { seed: SEED })
   })
 
-  it('is worth a new question when the first line came late, or long ago', () => {
+  it('is uncertain when the first message arrived late, or long ago', () => {
     const late = new HeardClock(0)
     late.recordLine(10, 400)
     assert.ok(late.isDoubtful(400))
--- a/packages/steering/test/common/entry/recordTable.test.ts
+++ b/packages/steering/test/common/entry/recordTable.test.ts
@@ -15,15 +15,15 @@
   return { kind: RecordKind.Document, key: 'document', revision, value: { version, routes: [], services: [], limits: { headerBytes: 1, bodyBytes: 1, headerMs: 1, idleMs: 1 } } }
 }
 
-/** Each version has a route that no other has. */
+/** Creates a configuration whose route is unique to its version. */
 function createRoutedDocument (version: number, revision: number): SteeringRecord {
   const route = { name: `r${version}`, host: 'h', prefix: `/${version}/`, kind: RouteKind.Idempotent, parts: [], timeoutMs: 1, goalMs: 1, attempts: 1, priority: 1, isSticky: false, homeRegions: [], isOpen: false }
   const record = createDocument(version, revision)
   return record.kind === RecordKind.Document ? { ...record, value: { ...record.value, routes: [route] } } : record
 }
 
-describe('the records that a VM believes', () => {
-  it('never go back to an older configuration, in whatever order messages come', () => {
+describe('the record replica of a VM', () => {
+  it('never returns to an older configuration, in whatever order messages arrive', () => {
     const messages = fc.array(fc.record({ revision: fc.integer({ min: 1, max: 40 }), way: fc.constantFrom('snapshot', 'changes', 'whole news', 'news') }), { maxLength: 60 })
     fc.assert(fc.property(messages, (list) => {
       const table = new RecordTable()
@@ -40,25 +40,26 @@
     }), { seed: SEED })
   })
 
-  it('keep a configuration that was read ahead of the rest while a peer tells of earlier ones', () => {
-    // Guards against a VM that asks for everything again and again after a start, since the changes do not fit what it has.
+  it('keeps a configuration that was read ahead of the other records when a peer sends earlier ones', () => {
+    // Guards against a VM that requests full updates repeatedly after its start because no delta fits its
+    // configuration.
     const table = new RecordTable()
     table.applySnapshot({ revision: 10, records: [createRoutedDocument(5, 15)] }, 0)
-    const teller = new RecordTable()
-    teller.applySnapshot({ revision: 10, records: [createRoutedDocument(3, 9)] }, 0)
-    teller.applyChanges({ revision: 12, written: [createRoutedDocument(4, 12)], removed: [] }, 0)
-    assert.notEqual(table.applyNews(teller.readNewsAfter(10)!, 0), undefined)
+    const sender = new RecordTable()
+    sender.applySnapshot({ revision: 10, records: [createRoutedDocument(3, 9)] }, 0)
+    sender.applyChanges({ revision: 12, written: [createRoutedDocument(4, 12)], removed: [] }, 0)
+    assert.notEqual(table.applyNews(sender.readNewsAfter(10)!, 0), undefined)
     assert.equal(table.revision, 12)
     assert.deepEqual(table.get('document'), createRoutedDocument(5, 15))
-    teller.applyChanges({ revision: 20, written: [createRoutedDocument(5, 15), createRoutedDocument(6, 20)], removed: [] }, 0)
-    assert.notEqual(table.applyNews(teller.readNewsAfter(12)!, 0), undefined)
+    sender.applyChanges({ revision: 20, written: [createRoutedDocument(5, 15), createRoutedDocument(6, 20)], removed: [] }, 0)
+    assert.notEqual(table.applyNews(sender.readNewsAfter(12)!, 0), undefined)
     assert.deepEqual(table.get('document'), createRoutedDocument(6, 20))
   })
 
-  it('do not bring back a worker that a peer told to be gone', () => {
-    // A VM that was cut off learns from a peer, as of revision 12, that a worker has
-    // left. The store then sends it the history since revision 5, in which the
-    // worker still changes; the worker must not get requests again.
+  it('does not restore a worker whose removal a peer has sent', () => {
+    // A VM that was cut off gets a full update from a peer, as of revision 12, after a worker has left. The
+    // store then sends it the history since revision 5, in which the worker still changes; the worker must not
+    // get requests again.
     const table = new RecordTable()
     table.applySnapshot({ revision: 5, records: [createWorker('1', 5)] }, 0)
     table.recordStoreLost(0)
@@ -69,7 +70,7 @@
     assert.equal(table.get('w/1'), undefined)
   })
 
-  it('keep a worker whose registration lapsed during an outage until it could be back', () => {
+  it('keeps a worker whose lease expired during an outage until it may have registered again', () => {
     const table = new RecordTable()
     table.applySnapshot({ revision: 5, records: [createWorker('1', 4), createWorker('2', 5)] }, 0)
     table.recordStoreLost(0)
@@ -78,14 +79,12 @@
     assert.notEqual(table.get('w/1'), undefined)
     table.applyChanges({ revision: 10, written: [createWorker('1', 10)], removed: [] }, 6_500)
     assert.deepEqual(table.releaseHeld(5_000 + REREGISTRATION_GRACE_MS).map(({ previous }) => previous?.key), ['w/2'])
-    assert.notEqual(table.get('w/1'), undefined, 'it came back')
+    assert.notEqual(table.get('w/1'), undefined, 'it registered again')
   })
 
-  it('hold a worker that disappears just after an outage no longer than one lost in it', () => {
-    // The store refused one VM for 5 s and answers again at 5 s. At 6 s a worker leaves
-    // without announcing it: its registration is removed, and 2.5 s later it gets no
-    // requests from anybody. The VM took the removal for one of the outage and held it
-    // for another full span, so that it sent requests until 8.1 s.
+  it('keeps a worker that disappears just after an outage no longer than one that disappears during it', () => {
+    // The store refuses one VM for 5 s. At 6 s a worker leaves without announcing it; 2.5 s later no VM may send
+    // it requests. If the removal started another full grace period, this VM would send requests until 8.1 s.
     const table = new RecordTable()
     table.applySnapshot({ revision: 5, records: [createWorker('1', 4), createWorker('2', 5)] }, 0)
     table.recordStoreLost(0)
@@ -94,7 +93,7 @@
     assert.deepEqual(table.releaseHeld(5_000 + REREGISTRATION_GRACE_MS).map(({ previous }) => previous?.key), ['w/1'])
   })
 
-  it('let go after a short outage of what they held in it', () => {
+  it('removes held records at the end of a short outage', () => {
     const table = new RecordTable()
     table.applySnapshot({ revision: 5, records: [createWorker('1', 4)] }, 0)
     table.recordStoreLost(0)
@@ -104,7 +103,7 @@
     assert.deepEqual(table.releaseHeld(1_000).map(({ previous }) => previous?.key), ['w/1'])
   })
 
-  it('drop at once what disappears while the store answers, or leaves as announced', () => {
+  it('removes at once what disappears while the store answers, and draining workers always', () => {
     const table = new RecordTable()
     table.applySnapshot({ revision: 5, records: [createWorker('1', 4), createWorker('2', 5, UpstreamState.Draining)] }, 0)
     table.applyChanges({ revision: 6, written: [], removed: [{ key: 'w/1', revision: 6 }] }, 100)
@@ -115,7 +114,7 @@
     assert.equal(table.get('w/2'), undefined)
   })
 
-  it('take an older snapshot for nothing', () => {
+  it('ignores an older snapshot', () => {
     const table = new RecordTable()
     table.applySnapshot({ revision: 9, records: [createWorker('1', 9)] }, 0)
     assert.deepEqual(table.applySnapshot({ revision: 8, records: [] }, 0), [])
