--- a/packages/steering/src/common/entry/coldAllowance.ts
+++ b/packages/steering/src/common/entry/coldAllowance.ts
@@ -2,8 +2,9 @@
  * How many requests this entry VM may send to a worker during its cold start.
  *
  * A cold worker crashes when all entry VMs together send it much more than its limit, so each
- * has a fixed part of the limit that it computes without coordination. If the limit doesn't
- * give each VM one request a second, it goes to the VMs that rank highest for the worker.
+ * has a fixed part of the limit that it computes without coordination. If the limit is too
+ * small for one request per second from each VM, only the VMs that rank highest for the worker
+ * send to it.
  */
 import { rankByRendezvous } from '../lookup/rendezvous.js'
 
--- a/packages/steering/src/common/entry/comeBack.ts
+++ b/packages/steering/src/common/entry/comeBack.ts
@@ -1,8 +1,8 @@
 /**
- * Computes after which delay a rejected caller should retry.
+ * Computes the delay after which a rejected caller should retry.
  *
- * Guards against synchronized retries: if many callers were rejected at the same moment and
- * all were told the same delay, they would return together and find the same queue.
+ * Guards against synchronized retries: if many callers were rejected at the same moment with
+ * the same delay, they would return together and find the same queue.
  */
 import type { IRandomSource } from '@umberspar/base/common/random'
 import type { Choice } from './chooseUpstream.js'
--- a/packages/steering/src/common/entry/entryView.ts
+++ b/packages/steering/src/common/entry/entryView.ts
@@ -10,7 +10,7 @@
 import { WeightedRoundRobin } from './weightedRoundRobin.js'
 import type { EntryNode, RecordChange, ShareKeeper, UpstreamEntry } from './records.js'
 import type { CrashReports, Quarantine } from '../quarantine/crashReport.js'
-import { RetryBudget, type RetryBudgetSettings } from './retryBudget.js'
+import { SharedRetryBudget, type RetryBudgetSettings } from './sharedRetryBudget.js'
 import type { SendingNode } from '../rateLimits/rateAllowance.js'
 import { RouteTable } from './routeTable.js'
 import { type PoolContext, WorkerPool } from './workerPool.js'
@@ -26,7 +26,7 @@
 }
 
 /** A record's value, with the key and revision needed to replace or remove the record. */
-export interface StoredValue<T> {
+export interface StoredRecord<T> {
   readonly key: string
   readonly revision: number
   readonly value: T
@@ -45,11 +45,11 @@
   /** Claims of quota shares, by the share's name. */
   readonly shares = new Map<string, ShareClaim>()
   /** Reports of crashed workers, by the reporting entry VM's name. */
-  readonly crashReports = new Map<string, StoredValue<CrashReports>>()
+  readonly crashReports = new Map<string, StoredRecord<CrashReports>>()
   /** Quarantined requests, by the request's digest. */
-  readonly quarantines = new Map<string, StoredValue<Quarantine>>()
+  readonly quarantines = new Map<string, StoredRecord<Quarantine>>()
   private readonly trackers = new Map<string, UpstreamTracker>()
-  private readonly retryBudgets = new Map<string, RetryBudget>()
+  private readonly retryBudgets = new Map<string, SharedRetryBudget>()
   private readonly serviceTimesByRoute = new Map<string, ServiceTimeEstimate>()
   /** Sorted names of the entry VMs; undefined after a change, so that a start with hundreds of VMs sorts them once. */
   private nodeNames: readonly string[] | undefined
@@ -111,17 +111,17 @@
    * @param service a service
    * @returns the budget for its retries
    */
-  readRepeats (service: string): RetryBudget {
+  readRepeats (service: string): SharedRetryBudget {
     let retryBudget = this.retryBudgets.get(service)
     if (retryBudget === undefined) {
-      retryBudget = new RetryBudget(this.context.budget, () => this.countNodes())
+      retryBudget = new SharedRetryBudget(this.context.budget, () => this.countNodes())
       this.retryBudgets.set(service, retryBudget)
     }
     return retryBudget
   }
 
   /** @returns the retry budgets of the services that had requests */
-  listRepeats (): Iterable<readonly [string, RetryBudget]> {
+  listRepeats (): Iterable<readonly [string, SharedRetryBudget]> {
     return this.retryBudgets
   }
 
--- a/packages/steering/src/common/entry/heardClock.ts
+++ b/packages/steering/src/common/entry/heardClock.ts
@@ -9,7 +9,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 import { CLOCK_RATE_MARGIN } from '../limits/loans.js'
 
-/** A larger uncertainty is worth a new request. */
+/** Uncertainty above which a new request is made. */
 const MAX_UNCERTAINTY_MS = 300
 
 /** The clock of one other VM, relative to one request. */
--- a/packages/steering/src/common/entry/retryBudget.ts
+++ b/packages/steering/src/common/entry/sharedRetryBudget.ts
@@ -23,9 +23,11 @@
 const SPENDABLE_RATIO_FRACTION = 0.7
 /** Fraction of the slack that is divided among the VMs; the rest covers VMs that have just joined or left. */
 const SPENDABLE_SLACK_FRACTION = 0.6
+/** Up to this many recorded requests, expired ones are not removed at each new request, to save time. */
+const MAX_UNPRUNED_REQUESTS = 256
 
 /** Counts one service's requests and retries. */
-export class RetryBudget {
+export class SharedRetryBudget {
   private requestTimes: Instant[] = []
   private retryTimes: Instant[] = []
 
@@ -38,7 +40,7 @@
   /** @param now when a request arrived */
   recordFirst (now: Instant): void {
     this.requestTimes.push(now)
-    if (this.requestTimes.length > 256 && this.requestTimes[0]! < now - this.settings.windowMs) this.removeExpired(now)
+    if (this.requestTimes.length > MAX_UNPRUNED_REQUESTS && this.requestTimes[0]! < now - this.settings.windowMs) this.removeExpired(now)
   }
 
   /**
--- a/packages/steering/test/common/entry/decideAccess.test.ts
+++ b/packages/steering/test/common/entry/decideAccess.test.ts
@@ -2,11 +2,11 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
 import { AccountTable, mergeHomes } from '../../../src/common/entry/accountTable.js'
-import { AccessEnd, decideAccess } from '../../../src/common/entry/decideAccess.js'
+import { type AccessBounds, AccessEnd, decideAccess } from '../../../src/common/entry/decideAccess.js'
 import { type AccountPolicy, RouteKind, type RoutePolicy } from '../../../src/common/entry/steeringDocument.js'
 
 const SEED = 20261203
-const BOUNDS = { runWithinMs: 4_500, denyWithinMs: 3_000, homeWithinMs: 2_700 }
+const BOUNDS: AccessBounds = { runWithinMs: 4_500, denyWithinMs: 3_000, homeWithinMs: 2_700 }
 const ROUTE: RoutePolicy = { name: 'r', host: 'h', prefix: '/', kind: RouteKind.Idempotent, parts: [], timeoutMs: 1, goalMs: 1, attempts: 1, priority: 1, isSticky: false, homeRegions: [], isOpen: false }
 
 function createAccount (name: string, keyDigests: readonly string[], homeRegions: readonly string[] = []): AccountPolicy {
--- a/packages/steering/test/common/entry/shares.test.ts
+++ b/packages/steering/test/common/entry/shares.test.ts
@@ -5,7 +5,7 @@
 import { KeyRanking } from '../../../src/common/entry/keyRanking.js'
 import { computeWorkerShares, type WorkerCapacity, type WorkerShares } from '../../../src/common/entry/workerShares.js'
 import { SeededRandom } from '@umberspar/base/common/random'
-import { RetryBudget } from '../../../src/common/entry/retryBudget.js'
+import { SharedRetryBudget } from '../../../src/common/entry/sharedRetryBudget.js'
 
 const SEED = 20261202
 const REGIONS = new Map([['a-1', 'a'], ['a-2', 'a'], ['b-1', 'b'], ['b-2', 'b'], ['c-1', 'c']])
@@ -107,7 +107,7 @@
     const requests = fc.array(fc.record({ node: fc.nat({ max: 199 }), at: fc.nat({ max: 30_000 }), isRepeat: fc.boolean() }), { minLength: 1, maxLength: 2_000 })
     fc.assert(fc.property(requests, fc.oneof(fc.integer({ min: 1, max: 12 }), fc.integer({ min: 13, max: 200 })), (events, count) => {
       const budget = { ratio: 0.2, windowMs: 10_000, slack: 60 }
-      const windows = Array.from({ length: count }, () => new RetryBudget(budget, () => count))
+      const windows = Array.from({ length: count }, () => new SharedRetryBudget(budget, () => count))
       const first: number[] = []
       const repeats: number[] = []
       for (const { node, at, isRepeat } of events.sort((left, right) => left.at - right.at)) {
@@ -132,7 +132,7 @@
     const budget = { ratio: 0.2, windowMs: 10_000, slack: 430 }
     const count = 195
     const perSecond = 107
-    const windows = Array.from({ length: count }, () => new RetryBudget(budget, () => count))
+    const windows = Array.from({ length: count }, () => new SharedRetryBudget(budget, () => count))
     const random = new SeededRandom(SEED)
     let sent = 0
     const requestCount = perSecond * budget.windowMs / 1_000
