--- a/packages/steering/test/common/entry/decideAccess.test.ts
+++ b/packages/steering/test/common/entry/decideAccess.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
 import { AccountTable, mergeHomes } from '../../../src/common/entry/accountTable.js'
-import { type AccessBounds, AccessEnd, decideAccess } from '../../../src/common/entry/decideAccess.js'
+import { type Access, type AccessBounds, AccessEnd, decideAccess } from '../../../src/common/entry/decideAccess.js'
 import { type AccountPolicy, RouteKind, type RoutePolicy } from '../../../src/common/entry/steeringDocument.js'
 
 const SEED = 20261203
@@ -18,7 +18,7 @@
 describe('access by key', () => {
   it('allows the request for the account that holds the key, while the records are proven to be fresh', () => {
     assert.equal(decideAccess({ accounts: ACCOUNTS, route: ROUTE, keyDigest: 'd2', proofAgeMs: 4_500 }, BOUNDS).account?.name, 'a')
-    assert.deepEqual(decideAccess({ accounts: ACCOUNTS, route: ROUTE, keyDigest: 'd2', proofAgeMs: 4_501 }, BOUNDS), { end: AccessEnd.RecordsStale })
+    assert.deepEqual(decideAccess({ accounts: ACCOUNTS, route: ROUTE, keyDigest: 'd2', proofAgeMs: 4_501 }, BOUNDS), { end: AccessEnd.RecordsStale } satisfies Access)
   })
 
   it('reports a key as unknown only while the records are fresh enough', () => {
@@ -31,9 +31,9 @@
 
   it('needs no key on open routes and where there are no accounts', () => {
     const open = { ...ROUTE, isOpen: true }
-    assert.deepEqual(decideAccess({ accounts: ACCOUNTS, route: open, keyDigest: 'unknown', proofAgeMs: Infinity }, BOUNDS), { end: AccessEnd.Allowed, account: undefined })
+    assert.deepEqual(decideAccess({ accounts: ACCOUNTS, route: open, keyDigest: 'unknown', proofAgeMs: Infinity }, BOUNDS), { end: AccessEnd.Allowed, account: undefined } satisfies Access)
     assert.equal(decideAccess({ accounts: ACCOUNTS, route: open, keyDigest: 'd3', proofAgeMs: 0 }, BOUNDS).account?.name, 'b')
-    assert.deepEqual(decideAccess({ accounts: undefined, route: ROUTE, keyDigest: undefined, proofAgeMs: Infinity }, BOUNDS), { end: AccessEnd.Allowed })
+    assert.deepEqual(decideAccess({ accounts: undefined, route: ROUTE, keyDigest: undefined, proofAgeMs: Infinity }, BOUNDS), { end: AccessEnd.Allowed } satisfies Access)
   })
 
   it('reports all keys as unknown for an account whose keys were all revoked', () => {
