--- a/packages/steering/src/common/entry/applyRecord.ts
+++ b/packages/steering/src/common/entry/applyRecord.ts
@@ -1,26 +1,26 @@
-/** Takes records over into the view, by their kind. */
+/** Applies records to the view, by their kind. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { EntryView } from './entryView.js'
 import { type RecordChange, RecordKind, type SteeringRecord } from './records.js'
 import { ViewChange, type ViewEvent } from './viewEvent.js'
 
 /**
- * @param view what is brought up to date
- * @param change what stands there now and what stood there before
- * @param now the present
- * @returns what changed
+ * @param view the view to update
+ * @param change the present and the previous record
+ * @param now the current time
+ * @returns the changes of the view
  */
 export function applyRecord (view: EntryView, { record, previous }: RecordChange, now: Instant): ViewEvent[] {
   const kind = (record ?? previous)?.kind
   if (kind === undefined) return []
-  // A newer entry VM may pass on kinds that this one does not know.
-  const apply: Applier | undefined = APPLIERS[kind]
+  // A newer entry VM may pass on kinds of records that this one does not know.
+  const apply: RecordApplier | undefined = APPLIERS[kind]
   return apply?.(view, record, previous, now) ?? []
 }
 
-type Applier = (view: EntryView, record: SteeringRecord | undefined, previous: SteeringRecord | undefined, now: Instant) => ViewEvent[]
+type RecordApplier = (view: EntryView, record: SteeringRecord | undefined, previous: SteeringRecord | undefined, now: Instant) => ViewEvent[]
 
-const APPLIERS: Readonly<Record<RecordKind, Applier>> = {
+const APPLIERS: Readonly<Record<RecordKind, RecordApplier>> = {
   [RecordKind.Document]: (view, record) => {
     if (record?.kind !== RecordKind.Document) return []
     view.setDocument(record.value)
--- a/packages/steering/src/common/entry/chooseEntries.ts
+++ b/packages/steering/src/common/entry/chooseEntries.ts
@@ -1,30 +1,30 @@
 /**
- * Which entry VMs callers of a failure domain are told to use: those of their own
- * domain, else of their region, else all. Callers pick among the names with equal
- * chance, whatever a VM can take: the smallest is busy for a tenth of its processor
- * share where it was measured (docs/MEASUREMENTS.md).
+ * Chooses the entry VMs that callers of a failure domain are told to use: those of their own
+ * domain, else of their region, else all. Callers pick among them with equal probability
+ * whatever a VM's capacity; the smallest VM used a tenth of its processor share when this was
+ * measured (docs/MEASUREMENTS.md).
  */
 import type { EntryNode } from './records.js'
 
-/** Callers use this many names at most. */
-const MOST_NAMES = 64
+/** Callers use at most this many addresses. */
+const MAX_ADDRESSES = 64
 
-/** Where callers are. */
-export interface CallerPlace {
+/** Location of the callers. */
+export interface CallerLocation {
   readonly region: string
   readonly domain: string
 }
 
 /**
- * @param nodes the entry VMs that serve
- * @param place where the callers are
- * @param regionOf all failure domains with their regions
- * @returns addresses, the nearest VMs only
+ * @param nodes the entry VMs that serve requests
+ * @param location the callers' location
+ * @param regionByDomain all failure domains with their regions
+ * @returns the addresses of the nearest VMs
  */
-export function chooseEntries (nodes: Iterable<EntryNode>, place: CallerPlace, regionOf: ReadonlyMap<string, string>): string[] {
+export function chooseEntries (nodes: Iterable<EntryNode>, location: CallerLocation, regionByDomain: ReadonlyMap<string, string>): string[] {
   const all = [...nodes].sort((left, right) => (left.name < right.name ? -1 : 1))
-  const sameDomain = all.filter(({ domain }) => domain === place.domain)
-  const sameRegion = all.filter(({ domain }) => regionOf.get(domain) === place.region)
+  const sameDomain = all.filter(({ domain }) => domain === location.domain)
+  const sameRegion = all.filter(({ domain }) => regionByDomain.get(domain) === location.region)
   const nearest = [sameDomain, sameRegion, all].find((list) => list.length > 0) ?? []
-  return nearest.slice(0, MOST_NAMES).map(({ address }) => address)
+  return nearest.slice(0, MAX_ADDRESSES).map(({ address }) => address)
 }
--- a/packages/steering/src/common/entry/documentParts.ts
+++ b/packages/steering/src/common/entry/documentParts.ts
@@ -1,20 +1,20 @@
 /**
- * The configuration in parts that change alone: each route, service and client account,
- * with the store's revision at which this VM saw it last change.
+ * The configuration in parts that change independently: each route, service and client
+ * account, with the store's revision at which this VM saw it last change.
  *
- * Guards against this failure: told whole, a configuration of a thousand routes fills
- * the links of the VMs that tell others for seconds at each change, and the news of
- * workers and the requests on these links wait behind it. A VM that knows the
- * configuration as of some revision is told the parts that changed after that.
+ * Guards against congested links. Sent in full, a configuration of a thousand routes occupies
+ * the links of the VMs that update others for seconds at each change, and worker updates and
+ * requests on these links are delayed. So a VM that knows the configuration as of some
+ * revision gets only the parts that changed after that.
  */
 import { computeHash64 } from '../hash/xxHash.js'
 import type { AccountPolicy, ClientLimits, RoutePolicy, ServicePolicy, SteeringDocument } from './steeringDocument.js'
 
-/** Removed parts that are remembered; a VM that may not have heard of a forgotten one is told everything. */
-const MOST_REMOVALS = 8_192
-const HEXADECIMAL = 16
+/** Limit on remembered removals; a VM that may have missed a discarded one gets a full update. */
+const MAX_TOMBSTONES = 8_192
+const HEXADECIMAL_RADIX = 16
 
-/** What a part is of. */
+/** The kinds of parts. */
 export enum PartKind {
   Route = 'route',
   Service = 'service',
@@ -23,33 +23,33 @@
 
 type PartValue = RoutePolicy | ServicePolicy | AccountPolicy
 
-/** Names by kind; parts of one name replace each other. */
-const PART_NAMES: Readonly<Record<PartKind, (value: never) => string>> = {
+/** Functions that return a part's name, by kind; parts of one name replace each other. */
+const PART_NAME_GETTERS: Readonly<Record<PartKind, (value: never) => string>> = {
   [PartKind.Route]: ({ host, prefix }: RoutePolicy) => `${host} ${prefix}`,
   [PartKind.Service]: ({ name }: ServicePolicy) => name,
   [PartKind.Account]: ({ name }: AccountPolicy) => name
 }
 
-/** What a VM that knows an earlier configuration is told of a later one. */
-export interface DocumentChange {
-  /** Where the configuration lies in the store. */
+/** The changes that lead from an earlier configuration to a later one. */
+export interface DocumentDelta {
+  /** The configuration's key in the store. */
   readonly key: string
-  /** The store's revision of this configuration. */
+  /** The store's revision of the later configuration. */
   readonly revision: number
   readonly version: number
   readonly limits: ClientLimits
-  /** Whether callers need keys; there may be none that holds. */
+  /** Whether callers need keys; there may be no valid key. */
   readonly hasAccounts: boolean
-  /** What changed or came, by kind. */
+  /** Parts that were added or changed, by kind. */
   readonly written: Readonly<Record<PartKind, readonly PartValue[]>>
-  /** Names of what went, by kind. */
+  /** Names of removed parts, by kind. */
   readonly removed: Readonly<Record<PartKind, readonly string[]>>
-  /** Of the whole configuration, to find out whether it was put together rightly. */
+  /** Digest of the whole later configuration, to check whether the delta was applied to the right base. */
   readonly digest: string
 }
 
-/** What stands beside the parts. */
-interface Frame {
+/** The configuration's properties beside its parts. */
+interface DocumentHeader {
   readonly version: number
   readonly limits: ClientLimits
   readonly hasAccounts: boolean
@@ -60,13 +60,13 @@
   readonly name: string
   readonly value: PartValue
   readonly text: string
-  /** Its share of the digest. */
+  /** The part's contribution to the digest. */
   readonly hash: bigint
-  /** The store's revision at which it last changed, or a later one. */
+  /** The store's revision at which the part last changed, or a later one. */
   readonly revision: number
 }
 
-interface RemovedPart {
+interface PartTombstone {
   readonly kind: PartKind
   readonly name: string
   readonly revision: number
@@ -76,16 +76,16 @@
   return BigInt(`0x${computeHash64(text)}`)
 }
 
-function readName (kind: PartKind, value: PartValue): string {
-  return PART_NAMES[kind](value as never)
+function getPartName (kind: PartKind, value: PartValue): string {
+  return PART_NAME_GETTERS[kind](value as never)
 }
 
 function createPart (kind: PartKind, value: PartValue, revision: number): Part {
   const text = JSON.stringify(value)
-  return { kind, name: readName(kind, value), value, text, hash: computeHash(`${kind} ${text}`), revision }
+  return { kind, name: getPartName(kind, value), value, text, hash: computeHash(`${kind} ${text}`), revision }
 }
 
-function createId ({ kind, name }: { readonly kind: PartKind, readonly name: string }): string {
+function createPartId ({ kind, name }: { readonly kind: PartKind, readonly name: string }): string {
   return `${kind} ${name}`
 }
 
@@ -97,15 +97,15 @@
   ]
 }
 
-function toFrame ({ version, limits, accounts }: SteeringDocument): Frame {
+function toHeader ({ version, limits, accounts }: SteeringDocument): DocumentHeader {
   return { version, limits, hasAccounts: accounts !== undefined }
 }
 
-/** The same whatever the order of the parts, since VMs put them together in different ones. */
-function computeDigest ({ version, limits, hasAccounts }: Frame, parts: Iterable<Part>): string {
+/** Computes the digest, which does not depend on the order of the parts, since each VM has them in a different one. */
+function computeDigest ({ version, limits, hasAccounts }: DocumentHeader, parts: Iterable<Part>): string {
   let sum = computeHash(JSON.stringify([version, limits, hasAccounts]))
   for (const { hash } of parts) sum ^= hash
-  return sum.toString(HEXADECIMAL)
+  return sum.toString(HEXADECIMAL_RADIX)
 }
 
 function splitByKind<T, U> (items: Iterable<T>, getKind: (item: T) => PartKind, toItem: (item: T) => U): Record<PartKind, U[]> {
@@ -117,41 +117,42 @@
 /** The newest configuration that one VM knows, in parts. */
 export class DocumentParts {
   private parts = new Map<string, Part>()
-  private readonly removals = new Map<string, RemovedPart>()
-  /** Removals up to this revision may have been forgotten. */
-  private forgottenRevision = 0
+  private readonly tombstones = new Map<string, PartTombstone>()
+  /** Removals up to this revision may have been discarded. */
+  private discardedRevision = 0
 
   /**
-   * Takes over a configuration that was read whole.
+   * Takes over a complete configuration.
    * @param document the configuration
-   * @param revision at which it was written
+   * @param revision the store's revision at which it was written
    */
   putDocument (document: SteeringDocument, revision: number): void {
     const parts = new Map<string, Part>()
     for (const { kind, value } of listValues(document)) {
-      const id = createId({ kind, name: readName(kind, value) })
+      const id = createPartId({ kind, name: getPartName(kind, value) })
       const known = this.parts.get(id)
       const isKnown = known !== undefined && (known.value === value || known.text === JSON.stringify(value))
       parts.set(id, isKnown ? known : createPart(kind, value, revision))
-      this.removals.delete(id)
+      this.tombstones.delete(id)
     }
     for (const [id, { kind, name }] of this.parts) {
-      if (!parts.has(id)) this.recordRemoval({ kind, name, revision })
+      if (!parts.has(id)) this.recordTombstone({ kind, name, revision })
     }
     this.parts = parts
   }
 
   /**
-   * @param change what another VM tells
-   * @returns the configuration that it leads to; undefined if what is known here is not what it was told for
+   * @param delta changes from a peer
+   * @returns the later configuration; undefined if the delta does not fit the configuration
+   *   known here
    */
-  mergeChange ({ version, limits, hasAccounts, written, removed, revision, digest }: DocumentChange): SteeringDocument | undefined {
+  mergeDelta ({ version, limits, hasAccounts, written, removed, revision, digest }: DocumentDelta): SteeringDocument | undefined {
     const parts = new Map(this.parts)
     for (const kind of Object.values(PartKind)) {
-      for (const name of removed[kind]) parts.delete(createId({ kind, name }))
+      for (const name of removed[kind]) parts.delete(createPartId({ kind, name }))
       for (const value of written[kind]) {
         const part = createPart(kind, value, revision)
-        parts.set(createId(part), part)
+        parts.set(createPartId(part), part)
       }
     }
     if (computeDigest({ version, limits, hasAccounts }, parts.values()) !== digest) return undefined
@@ -166,46 +167,47 @@
   }
 
   /**
-   * Notes that what a change holds changed with it, though it may have stood here already:
-   * it may have changed and changed back since a VM that learns from this one heard of it.
-   * @param change from which the configuration that was put last was put together
+   * Marks the parts of a delta as changed at its revision, even if they are the same here:
+   * they may have changed and changed back since a VM that replicates from this one last got
+   * an update.
+   * @param delta the delta from which the configuration that was put last was built
    */
-  markChanged ({ revision, written, removed }: DocumentChange): void {
+  markChanged ({ revision, written, removed }: DocumentDelta): void {
     for (const kind of Object.values(PartKind)) {
-      for (const name of removed[kind]) this.recordRemoval({ kind, name, revision })
+      for (const name of removed[kind]) this.recordTombstone({ kind, name, revision })
       for (const value of written[kind]) {
         const part = createPart(kind, value, revision)
-        this.parts.set(createId(part), part)
+        this.parts.set(createPartId(part), part)
       }
     }
   }
 
   /**
    * @param document the newest configuration, the one that was put last
-   * @param place where it lies in the store, and at which revision
-   * @param known the revision that the VM which is told knows
-   * @returns what changed after that; undefined if it has to be told everything
+   * @param location the configuration's key and revision in the store
+   * @param knownRevision the revision up to which the peer knows everything
+   * @returns the changes after that revision; undefined if the peer needs a full update
    */
-  readChangeAfter (document: SteeringDocument, place: { readonly key: string, readonly revision: number }, known: number): DocumentChange | undefined {
-    if (known < this.forgottenRevision) return undefined
-    const frame = toFrame(document)
+  buildDeltaAfter (document: SteeringDocument, location: { readonly key: string, readonly revision: number }, knownRevision: number): DocumentDelta | undefined {
+    if (knownRevision < this.discardedRevision) return undefined
+    const header = toHeader(document)
     return {
-      ...frame,
-      key: place.key,
-      revision: place.revision,
-      written: splitByKind([...this.parts.values()].filter(({ revision }) => revision > known), ({ kind }) => kind, ({ value }) => value),
-      removed: splitByKind([...this.removals.values()].filter(({ revision }) => revision > known), ({ kind }) => kind, ({ name }) => name),
-      digest: computeDigest(frame, this.parts.values())
+      ...header,
+      key: location.key,
+      revision: location.revision,
+      written: splitByKind([...this.parts.values()].filter(({ revision }) => revision > knownRevision), ({ kind }) => kind, ({ value }) => value),
+      removed: splitByKind([...this.tombstones.values()].filter(({ revision }) => revision > knownRevision), ({ kind }) => kind, ({ name }) => name),
+      digest: computeDigest(header, this.parts.values())
     }
   }
 
-  private recordRemoval (removal: RemovedPart): void {
-    const id = createId(removal)
-    this.removals.delete(id)
-    this.removals.set(id, removal)
-    if (this.removals.size <= MOST_REMOVALS) return
-    const [oldestId, oldest] = this.removals.entries().next().value!
-    this.removals.delete(oldestId)
-    this.forgottenRevision = Math.max(this.forgottenRevision, oldest.revision)
+  private recordTombstone (tombstone: PartTombstone): void {
+    const id = createPartId(tombstone)
+    this.tombstones.delete(id)
+    this.tombstones.set(id, tombstone)
+    if (this.tombstones.size <= MAX_TOMBSTONES) return
+    const [oldestId, oldest] = this.tombstones.entries().next().value!
+    this.tombstones.delete(oldestId)
+    this.discardedRevision = Math.max(this.discardedRevision, oldest.revision)
   }
 }
--- a/packages/steering/src/common/entry/entryView.ts
+++ b/packages/steering/src/common/entry/entryView.ts
@@ -1,72 +1,72 @@
 /**
- * All that an entry VM decides by: the configuration in force, the workers and
- * what was seen of them, evacuated failure domains, the other entry VMs. It is
- * brought up to date from the records, one change at a time.
+ * An entry VM's view of the deployment, on which all its decisions are based: the
+ * configuration in force, the workers and what was observed of them, evacuated failure
+ * domains, and the other entry VMs. It is updated from the records, one change at a time.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline } from '@umberspar/base/common/deadline'
 import { applyRecord } from './applyRecord.js'
 import { AccountTable } from './accountTable.js'
-import { PartChooser } from './partChooser.js'
+import { WeightedRoundRobin } from './weightedRoundRobin.js'
 import type { EntryNode, RecordChange, ShareKeeper, UpstreamEntry } from './records.js'
 import type { CrashReports, Quarantine } from '../quarantine/crashReport.js'
-import { RepeatWindow, type RepeatBudget } from './repeatWindow.js'
+import { SharedRetryBudget, type RetryBudgetSettings } from './sharedRetryBudget.js'
 import type { SendingNode } from '../rateLimits/rateAllowance.js'
 import { RouteTable } from './routeTable.js'
-import { type RosterPlace, ServiceRoster } from './serviceRoster.js'
+import { type PoolContext, WorkerPool } from './workerPool.js'
 import type { RoutePolicy, ServicePolicy, SteeringDocument } from './steeringDocument.js'
 import { UpstreamTracker } from './upstreamTracker.js'
 import { type UpstreamChange, ViewChange, type ViewEvent } from './viewEvent.js'
-import { WorkEstimate } from './workEstimate.js'
+import { ServiceTimeEstimate } from './serviceTimeEstimate.js'
 
-/** A share's keeper, and the revision of its claim. */
+/** The holder of a quota share, and the revision of its claim. */
 export interface ShareClaim {
   readonly keeper: ShareKeeper
   readonly revision: number
 }
 
-/** A record's value, with what it takes to replace or remove the record. */
-export interface Stored<T> {
+/** A record's value, with the key and revision needed to replace or remove the record. */
+export interface StoredRecord<T> {
   readonly key: string
   readonly revision: number
   readonly value: T
 }
 
-/** What does not change while the process lives. */
-export interface ViewPlace extends Omit<RosterPlace, 'listNodes' | 'listSendingNodes'> {
-  readonly budget: RepeatBudget
+/** Properties of this VM and settings that don't change while the process runs. */
+export interface ViewContext extends Omit<PoolContext, 'listNodes' | 'listSendingNodes'> {
+  readonly budget: RetryBudgetSettings
 }
 
 /** The view of one entry VM. */
 export class EntryView {
-  readonly rosters = new Map<string, ServiceRoster>()
+  readonly pools = new Map<string, WorkerPool>()
   readonly nodes = new Map<string, EntryNode>()
   readonly evacuated = new Set<string>()
-  /** Who keeps which share of the quotas, by the share's name. */
+  /** Claims of quota shares, by the share's name. */
   readonly shares = new Map<string, ShareClaim>()
-  /** What entry VMs report of crashes, by their names. */
-  readonly crashReports = new Map<string, Stored<CrashReports>>()
-  /** By the request's digest. */
-  readonly quarantines = new Map<string, Stored<Quarantine>>()
+  /** Reports of crashed workers, by the reporting entry VM's name. */
+  readonly crashReports = new Map<string, StoredRecord<CrashReports>>()
+  /** Quarantined requests, by the request's digest. */
+  readonly quarantines = new Map<string, StoredRecord<Quarantine>>()
   private readonly trackers = new Map<string, UpstreamTracker>()
-  private readonly repeatWindows = new Map<string, RepeatWindow>()
-  private readonly workByRoute = new Map<string, WorkEstimate>()
-  /** Sorted; undefined after a change, so that a start with hundreds of VMs sorts them once. */
+  private readonly retryBudgets = new Map<string, SharedRetryBudget>()
+  private readonly serviceTimesByRoute = new Map<string, ServiceTimeEstimate>()
+  /** Sorted names of the entry VMs; undefined after a change, so that a start with hundreds of VMs sorts them once. */
   private nodeNames: readonly string[] | undefined
-  /** The same with their failure domains. */
+  /** The same entry VMs with their failure domains. */
   private sendingNodes: readonly SendingNode[] | undefined
-  private current: SteeringDocument | undefined
-  private table: RouteTable | undefined
+  private currentDocument: SteeringDocument | undefined
+  private routeTable: RouteTable | undefined
   private accountTable: AccountTable | undefined
-  private policies: ReadonlyMap<string, ServicePolicy> = new Map()
-  parts = new PartChooser()
+  private policiesByService: ReadonlyMap<string, ServicePolicy> = new Map()
+  parts = new WeightedRoundRobin()
 
-  /** @param place where this VM is and what it was set to */
-  constructor (private readonly place: ViewPlace) {}
+  /** @param context properties of this VM and settings */
+  constructor (private readonly context: ViewContext) {}
 
   /** @returns the configuration in force; undefined before one was read */
   get document (): SteeringDocument | undefined {
-    return this.current
+    return this.currentDocument
   }
 
   /** @returns the client accounts; undefined where callers need no keys */
@@ -74,12 +74,12 @@
     return this.accountTable
   }
 
-  /** @returns all workers known */
+  /** @returns all known workers */
   listTrackers (): Iterable<UpstreamTracker> {
     return this.trackers.values()
   }
 
-  /** @returns how many entry VMs there are, this one included */
+  /** @returns the number of entry VMs, this one included */
   countNodes (): number {
     return this.listNodeNames().length
   }
@@ -90,61 +90,61 @@
    * @returns its route, if there is one
    */
   findRoute (host: string, target: string): RoutePolicy | undefined {
-    return this.table?.find(host, target)
+    return this.routeTable?.find(host, target)
   }
 
   /**
    * @param service a service
    * @returns its workers
    */
-  readRoster (service: string): ServiceRoster {
-    let roster = this.rosters.get(service)
-    if (roster === undefined) {
-      roster = new ServiceRoster({ ...this.place, listNodes: () => this.listNodeNames(), listSendingNodes: () => this.listSendingNodes() })
-      roster.policy = this.policies.get(service)
-      this.rosters.set(service, roster)
+  readRoster (service: string): WorkerPool {
+    let pool = this.pools.get(service)
+    if (pool === undefined) {
+      pool = new WorkerPool({ ...this.context, listNodes: () => this.listNodeNames(), listSendingNodes: () => this.listSendingNodes() })
+      pool.policy = this.policiesByService.get(service)
+      this.pools.set(service, pool)
     }
-    return roster
+    return pool
   }
 
   /**
    * @param service a service
-   * @returns the repeats that may be sent for it
+   * @returns the budget for its retries
    */
-  readRepeats (service: string): RepeatWindow {
-    let window = this.repeatWindows.get(service)
-    if (window === undefined) {
-      window = new RepeatWindow(this.place.budget, () => this.countNodes())
-      this.repeatWindows.set(service, window)
+  readRepeats (service: string): SharedRetryBudget {
+    let retryBudget = this.retryBudgets.get(service)
+    if (retryBudget === undefined) {
+      retryBudget = new SharedRetryBudget(this.context.budget, () => this.countNodes())
+      this.retryBudgets.set(service, retryBudget)
     }
-    return window
+    return retryBudget
   }
 
-  /** @returns the repeats of each service that had requests */
-  listRepeats (): Iterable<readonly [string, RepeatWindow]> {
-    return this.repeatWindows
+  /** @returns the retry budgets of the services that had requests */
+  listRepeats (): Iterable<readonly [string, SharedRetryBudget]> {
+    return this.retryBudgets
   }
 
   /**
    * @param route a route
    * @param service the service that the request goes to
-   * @returns how long its requests take there
+   * @returns the service times of the route's requests there
    */
-  readWork (route: RoutePolicy, service: string): WorkEstimate {
+  readWork (route: RoutePolicy, service: string): ServiceTimeEstimate {
     const name = `${route.name} ${service}`
-    let work = this.workByRoute.get(name)
-    if (work === undefined) {
-      work = new WorkEstimate(route)
-      this.workByRoute.set(name, work)
+    let serviceTimes = this.serviceTimesByRoute.get(name)
+    if (serviceTimes === undefined) {
+      serviceTimes = new ServiceTimeEstimate(route)
+      this.serviceTimesByRoute.set(name, serviceTimes)
     }
-    return work
+    return serviceTimes
   }
 
   /**
-   * Takes one record over, or its disappearance.
-   * @param change what stands there now and what stood there before
-   * @param now the present
-   * @returns what changed
+   * Applies the writing or removal of one record.
+   * @param change the present and the previous record
+   * @param now the current time
+   * @returns the changes of the view
    */
   apply (change: RecordChange, now: Instant): ViewEvent[] {
     return applyRecord(this, change, now)
@@ -152,62 +152,63 @@
 
   /** @param document the configuration that is in force from now on */
   setDocument (document: SteeringDocument): void {
-    this.current = document
-    this.table = new RouteTable(document)
+    this.currentDocument = document
+    this.routeTable = new RouteTable(document)
     this.accountTable = document.accounts === undefined ? undefined : new AccountTable(document.accounts)
-    this.parts = new PartChooser()
-    this.policies = new Map(document.services.map((policy) => [policy.name, policy]))
-    for (const [service, roster] of this.rosters) roster.policy = this.policies.get(service)
+    this.parts = new WeightedRoundRobin()
+    this.policiesByService = new Map(document.services.map((policy) => [policy.name, policy]))
+    for (const [service, pool] of this.pools) pool.policy = this.policiesByService.get(service)
   }
 
   /**
-   * @param entry a worker's registration
-   * @param now the present
-   * @returns what it changes; undefined if it is of an earlier life than the worker's present one
+   * @param registration a worker's registration
+   * @param now the current time
+   * @returns the change of the view; undefined if the registration is from an earlier process
+   *   than the worker's present one
    */
-  putUpstream (entry: UpstreamEntry, now: Instant): UpstreamChange | undefined {
-    const known = this.trackers.get(entry.id)
-    if (known !== undefined && known.isFormerLife(entry)) return undefined
-    const isNewLife = known !== undefined && known.isOtherLife(entry)
-    if (known !== undefined && (isNewLife || known.entry.service !== entry.service)) this.removeUpstream(entry.id)
-    const tracker = this.trackers.get(entry.id) ?? new UpstreamTracker(entry, now, isNewLife ? known.listLives() : [])
-    tracker.update(entry, now)
-    this.trackers.set(entry.id, tracker)
-    this.readRoster(entry.service).put(tracker)
+  putUpstream (registration: UpstreamEntry, now: Instant): UpstreamChange | undefined {
+    const known = this.trackers.get(registration.id)
+    if (known !== undefined && known.isEarlierStart(registration)) return undefined
+    const isRestart = known !== undefined && known.isOtherStart(registration)
+    if (known !== undefined && (isRestart || known.entry.service !== registration.service)) this.removeUpstream(registration.id)
+    const tracker = this.trackers.get(registration.id) ?? new UpstreamTracker(registration, now, isRestart ? known.listStartTimes() : [])
+    tracker.update(registration, now)
+    this.trackers.set(registration.id, tracker)
+    this.readRoster(registration.service).put(tracker)
     if (known === undefined) return ViewChange.UpstreamJoined
-    return isNewLife ? ViewChange.UpstreamRestarted : ViewChange.UpstreamChanged
+    return isRestart ? ViewChange.UpstreamRestarted : ViewChange.UpstreamChanged
   }
 
-  /** @param id a worker that is gone */
+  /** @param id a worker that is no longer registered */
   removeUpstream (id: string): void {
     const tracker = this.trackers.get(id)
     if (tracker === undefined) return
     this.trackers.delete(id)
-    this.rosters.get(tracker.entry.service)?.remove(id)
+    this.pools.get(tracker.entry.service)?.remove(id)
   }
 
-  /** @param domain a failure domain that gets nothing from now on */
+  /** @param domain a failure domain that gets no requests from now on */
   putEvacuation (domain: string): void {
     this.evacuated.add(domain)
-    for (const roster of this.rosters.values()) roster.clearRankings()
+    for (const pool of this.pools.values()) pool.clearRankings()
   }
 
   /**
-   * Takes a failure domain back. Its workers may have lost what they kept in memory,
-   * and the operator's record does not say so: all count as just started, since the
-   * full load of a domain at once would crash cold ones.
+   * Ends the evacuation of a failure domain. Its workers may have lost their caches, and the
+   * operator's record doesn't say so. All of them are treated as just started, since the full
+   * load of a domain at once would crash cold ones.
    * @param domain the failure domain
-   * @param now the present
+   * @param now the current time
    */
   removeEvacuation (domain: string, now: Instant): void {
     this.evacuated.delete(domain)
-    for (const roster of this.rosters.values()) {
-      for (const tracker of roster.list()) {
+    for (const pool of this.pools.values()) {
+      for (const tracker of pool.listTrackers()) {
         if (tracker.entry.domain !== domain) continue
-        tracker.markCold(createDeadline(now, roster.policy?.coldMs ?? 0))
-        roster.warmth.removeWorker(tracker.entry.id)
+        tracker.markCold(createDeadline(now, pool.policy?.coldMs ?? 0))
+        pool.cacheAffinity.removeWorker(tracker.entry.id)
       }
-      roster.clearRankings()
+      pool.clearRankings()
     }
   }
 
@@ -218,7 +219,7 @@
     this.sendingNodes = undefined
   }
 
-  /** @param name an entry VM that is gone */
+  /** @param name an entry VM that is no longer registered */
   removeNode (name: string): void {
     this.nodes.delete(name)
     this.nodeNames = undefined
@@ -226,12 +227,12 @@
   }
 
   private listNodeNames (): readonly string[] {
-    this.nodeNames ??= [...new Set([this.place.node, ...this.nodes.keys()])].sort()
+    this.nodeNames ??= [...new Set([this.context.node, ...this.nodes.keys()])].sort()
     return this.nodeNames
   }
 
   private listSendingNodes (): readonly SendingNode[] {
-    const { node, domain } = this.place
+    const { node, domain } = this.context
     this.sendingNodes ??= this.listNodeNames().map((name) => ({ name, domain: name === node ? domain : this.nodes.get(name)?.domain ?? '' }))
     return this.sendingNodes
   }
--- /dev/null
+++ b/packages/steering/src/common/entry/sharedRetryBudget.ts
@@ -0,0 +1,73 @@
+/**
+ * Limits the retries that this entry VM may send for a service.
+ *
+ * All entry VMs share one budget in a sliding window. Each spends only what its own requests
+ * earn, so the sum holds without coordination, whichever VMs are cut off.
+ */
+import type { Instant } from '@umberspar/base/common/clock'
+
+/** The configured retry budget. */
+export interface RetryBudgetSettings {
+  /** Retries per request. */
+  readonly ratio: number
+  /** Length of the sliding window, in milliseconds. */
+  readonly windowMs: number
+  /** Retries beyond the ratio that all entry VMs together may send in a window. */
+  readonly slack: number
+}
+
+/**
+ * Fraction of the ratio that is spent. A request that reaches two services, by a traffic split
+ * or a change of the configuration, earns retries at one of them only.
+ */
+const SPENDABLE_RATIO_FRACTION = 0.7
+/** Fraction of the slack that is divided among the VMs; the rest covers VMs that have just joined or left. */
+const SPENDABLE_SLACK_FRACTION = 0.6
+/** Up to this many recorded requests, expired ones are not removed at each new request, to save time. */
+const MAX_UNPRUNED_REQUESTS = 256
+
+/** Counts one service's requests and retries. */
+export class SharedRetryBudget {
+  private requestTimes: Instant[] = []
+  private retryTimes: Instant[] = []
+
+  /**
+   * @param settings the configured budget
+   * @param countNodes returns the number of entry VMs that currently share the slack
+   */
+  constructor (private readonly settings: RetryBudgetSettings, private readonly countNodes: () => number) {}
+
+  /** @param now when a request arrived */
+  recordFirst (now: Instant): void {
+    this.requestTimes.push(now)
+    if (this.requestTimes.length > MAX_UNPRUNED_REQUESTS && this.requestTimes[0]! < now - this.settings.windowMs) this.removeExpired(now)
+  }
+
+  /**
+   * Takes one retry from the budget.
+   * @param now the current time
+   * @returns whether the retry may be sent
+   */
+  take (now: Instant): boolean {
+    if (this.countLeft(now) < 1) return false
+    this.retryTimes.push(now)
+    return true
+  }
+
+  /**
+   * @param now the current time
+   * @returns the number of retries that could be sent now
+   */
+  countLeft (now: Instant): number {
+    this.removeExpired(now)
+    const slack = this.settings.slack * SPENDABLE_SLACK_FRACTION / Math.max(1, this.countNodes())
+    const allowed = this.requestTimes.length * this.settings.ratio * SPENDABLE_RATIO_FRACTION + slack
+    return Math.max(0, Math.floor(allowed - this.retryTimes.length))
+  }
+
+  private removeExpired (now: Instant): void {
+    const windowStart = now - this.settings.windowMs
+    this.requestTimes = this.requestTimes.filter((at) => at > windowStart)
+    this.retryTimes = this.retryTimes.filter((at) => at > windowStart)
+  }
+}
--- /dev/null
+++ b/packages/steering/src/common/entry/workerPool.ts
@@ -0,0 +1,282 @@
+/** The workers of one service, and the selection of candidates for a request. */
+import type { Instant } from '@umberspar/base/common/clock'
+import type { Candidate } from './chooseUpstream.js'
+import { computePairHash, PAIR_HASH_RANGE } from '../lookup/rendezvous.js'
+import { divideRateLimit, type RateAllowance, type RateTolerance, type SendingNode } from '../rateLimits/rateAllowance.js'
+import { COLD_WINDOW_MS, type ColdTolerance, computeColdAllowance } from './coldAllowance.js'
+import type { DomainDistances } from './domainDistances.js'
+import { classifyCacheState, CacheHitEstimator } from './handChance.js'
+import { KeyRanking } from './keyRanking.js'
+import { computeWorkerShares, type WorkerShares } from './workerShares.js'
+import { type UpstreamEntry, UpstreamState } from './records.js'
+import type { ServicePolicy } from './steeringDocument.js'
+import type { UpstreamTracker } from './upstreamTracker.js'
+import { CacheAffinity } from './cacheAffinity.js'
+import type { ServiceTimeEstimate } from './serviceTimeEstimate.js'
+
+/** What a pool needs to know about its entry VM and the entry VMs that share the workers. */
+export interface PoolContext {
+  /** This entry VM's name. */
+  readonly node: string
+  readonly domain: string
+  readonly regionOf: ReadonlyMap<string, string>
+  readonly distances: DomainDistances
+  readonly coldTolerance: ColdTolerance
+  readonly rateTolerance: RateTolerance
+  /** @returns the names of all entry VMs, this one included */
+  listNodes(): readonly string[]
+  /** @returns the entry VMs with their failure domains; a new array after each change */
+  listSendingNodes(): readonly SendingNode[]
+}
+
+/** The properties of a request that decide which workers are candidates. */
+export interface CandidateRequest {
+  /** The only regions that may serve the request; empty if all may. */
+  readonly homeRegions: readonly string[]
+  /** Identifies the object; undefined if workers cache nothing for the route. */
+  readonly key: string | undefined
+  /** Ids of the workers that this request was already sent to. */
+  readonly tried: ReadonlySet<string>
+}
+
+/**
+ * Limit on the workers that are scored, in the order of the key's ranking; workers that can't
+ * get the request are skipped.
+ */
+const MAX_CANDIDATES = 5
+
+/** Slot utilization up to which the saturation is 0, and from which it is 1. */
+const SPARE_UTILIZATION_RATIO = 0.4
+const FULL_UTILIZATION_RATIO = 0.9
+/** Limits how much one worker with a long queue adds to the service's saturation. */
+const MAX_IN_FLIGHT_PER_SLOT = 2
+/** The saturation is cached this long, since computing it visits all workers. */
+const SATURATION_VALIDITY_MS = 100
+
+/** Which keys may be sent to a worker that reported a rate limit. */
+enum RateLimitScope {
+  /** Only the fixed subset of keys that fits within the limit. */
+  AssignedKeys = 'assigned',
+  /** All keys. */
+  AnyKey = 'tolerated'
+}
+
+/** The rate that this VM may send to a worker, with the inputs it was computed from. */
+interface CachedAllowance {
+  readonly limit: number
+  readonly nodes: readonly SendingNode[]
+  readonly allowance: RateAllowance
+}
+
+/** The workers of one service. */
+export class WorkerPool {
+  private readonly trackers = new Map<string, UpstreamTracker>()
+  private readonly rankings = new Map<string, KeyRanking>()
+  readonly cacheAffinity = new CacheAffinity()
+  readonly cacheHits = new CacheHitEstimator()
+  policy: ServicePolicy | undefined
+  private readonly allowancesByWorker = new Map<string, CachedAllowance>()
+  private sharesByDomain: ReadonlyMap<string, WorkerShares> | undefined
+  private saturation = 0
+  private saturationValidUntil: Instant = Number.NEGATIVE_INFINITY
+
+  /** @param context this entry VM and the VMs that share the workers */
+  constructor (private readonly context: PoolContext) {}
+
+  /** @returns all registered workers, draining ones included */
+  listTrackers (): Iterable<UpstreamTracker> {
+    return this.trackers.values()
+  }
+
+  /**
+   * @param workerId a worker
+   * @returns whether it is registered
+   */
+  has (workerId: string): boolean {
+    return this.trackers.has(workerId)
+  }
+
+  /**
+   * @param now the current time
+   * @returns the saturation of the service, from 0 (free slots) to 1 (no free slots)
+   */
+  getBusyness (now: Instant): number {
+    if (now < this.saturationValidUntil) return this.saturation
+    let inFlight = 0
+    let slots = 0
+    for (const tracker of this.trackers.values()) {
+      inFlight += Math.min(MAX_IN_FLIGHT_PER_SLOT * tracker.entry.slots, tracker.countHeld(now))
+      slots += tracker.entry.slots
+    }
+    const utilization = slots === 0 ? 0 : inFlight / slots
+    this.saturation = Math.min(1, Math.max(0, (utilization - SPARE_UTILIZATION_RATIO) / (FULL_UTILIZATION_RATIO - SPARE_UTILIZATION_RATIO)))
+    this.saturationValidUntil = now + SATURATION_VALIDITY_MS
+    return this.saturation
+  }
+
+  /**
+   * Adds a worker, or updates one whose registration has changed.
+   * @param tracker the worker
+   */
+  put (tracker: UpstreamTracker): void {
+    this.trackers.set(tracker.entry.id, tracker)
+    this.clearShares()
+  }
+
+  /** @param workerId a worker that is no longer registered */
+  remove (workerId: string): void {
+    this.trackers.delete(workerId)
+    this.cacheAffinity.removeWorker(workerId)
+    this.clearShares()
+  }
+
+  /** Discards the cached rankings after an evacuation of a failure domain has started or ended. */
+  clearRankings (): void {
+    this.clearShares()
+  }
+
+  /**
+   * @param request the request
+   * @param serviceTimes service times of the request's route
+   * @param evacuatedDomains failure domains that get no requests
+   * @param now the current time
+   * @returns the workers that may get the request now
+   */
+  listCandidates (request: CandidateRequest, serviceTimes: ServiceTimeEstimate, evacuatedDomains: ReadonlySet<string>, now: Instant): Candidate[] {
+    const key = request.key ?? String(now)
+    const ranks = this.getRanking(request.homeRegions, evacuatedDomains).rank(key)
+    const candidates = this.findCandidates(ranks, key, request, serviceTimes, now, RateLimitScope.AssignedKeys)
+    // Rather than reject the request, allow keys that are not assigned to a worker, within the configured
+    // tolerance.
+    return candidates.length > 0 ? candidates : this.findCandidates(ranks, key, request, serviceTimes, now, RateLimitScope.AnyKey)
+  }
+
+  private findCandidates (ranks: readonly string[], key: string, request: CandidateRequest, serviceTimes: ServiceTimeEstimate, now: Instant, scope: RateLimitScope): Candidate[] {
+    const candidates: Candidate[] = []
+    for (const [rank, id] of ranks.entries()) {
+      if (candidates.length >= MAX_CANDIDATES) break
+      const tracker = this.trackers.get(id)
+      if (tracker === undefined || request.tried.has(id) || !this.hasColdCapacity(tracker, now)) continue
+      if (scope === RateLimitScope.AssignedKeys && candidates.length === 0 && tracker.rateLimit !== undefined) tracker.demandMeter.record(now)
+      if (!this.hasRateCapacity(tracker, key, now, scope)) continue
+      candidates.push(this.buildCandidate(tracker, request.key, serviceTimes, rank, now))
+    }
+    return candidates
+  }
+
+  private buildCandidate (tracker: UpstreamTracker, key: string | undefined, serviceTimes: ServiceTimeEstimate, rank: number, now: Instant): Candidate {
+    const { domain, id } = tracker.entry
+    const cacheState = classifyCacheState(key !== undefined && this.cacheAffinity.has(key, id, now), rank)
+    return {
+      tracker,
+      proximity: this.context.distances.getProximity(domain),
+      roundTripMs: this.context.distances.getRoundTrip(domain),
+      hand: cacheState,
+      // Without a key there is no cache entry to hit.
+      handChance: key === undefined ? 0 : this.cacheHits.getProbability(cacheState),
+      missServiceTimeMs: serviceTimes.getServiceTimeMs(false),
+      hitServiceTimeMs: serviceTimes.getServiceTimeMs(key !== undefined),
+      meanServiceTimeMs: serviceTimes.getServiceTimeMs(key !== undefined),
+      rank
+    }
+  }
+
+  private hasColdCapacity (tracker: UpstreamTracker, now: Instant): boolean {
+    if (!tracker.isCold(now)) return true
+    const perSecond = this.policy?.coldPerSecond ?? 0
+    const { node, coldTolerance } = this.context
+    return tracker.coldMeter.getFreeAt(computeColdAllowance(perSecond, coldTolerance, tracker.entry.id, this.context.listNodes(), node), COLD_WINDOW_MS, now) <= now
+  }
+
+  /**
+   * @param now the current time
+   * @returns how long rate limits keep this VM from sending to any of the workers that
+   *   reported one, in milliseconds; undefined if no worker did
+   */
+  getRateWaitMs (now: Instant): number | undefined {
+    let freeAt: Instant | undefined
+    for (const tracker of this.trackers.values()) {
+      if (tracker.rateLimit !== undefined) freeAt = Math.min(freeAt ?? Infinity, this.getRateAvailableAt(tracker, now))
+    }
+    return freeAt === undefined ? undefined : freeAt - now
+  }
+
+  private hasRateCapacity (tracker: UpstreamTracker, key: string, now: Instant, scope: RateLimitScope): boolean {
+    if (tracker.rateLimit === undefined) return true
+    const { windowMs, named: assigned, probeIntervalMs } = this.getAllowance(tracker, tracker.rateLimit)
+    if (scope === RateLimitScope.AssignedKeys) {
+      // Without an assigned rate, the request only probes whether the limit still applies; any key will do.
+      if (assigned === 0) return now >= tracker.rateLimitAt + probeIntervalMs
+      const demand = tracker.demandMeter.count(windowMs, now)
+      if (!isAssigned(key, tracker.entry.id, assigned / Math.max(1, demand))) return false
+    }
+    return this.getRateAvailableAt(tracker, now) <= now
+  }
+
+  /** @returns when the worker's rate limit, with the configured tolerance, permits the next request */
+  private getRateAvailableAt (tracker: UpstreamTracker, now: Instant): Instant {
+    const { rateLimit, rateMeter, rateLimitAt } = tracker
+    if (rateLimit === undefined) return now
+    const { windowMs, tolerated, probeIntervalMs } = this.getAllowance(tracker, rateLimit)
+    return tolerated === 0 ? Math.max(now, rateLimitAt + probeIntervalMs) : rateMeter.getFreeAt(tolerated, windowMs, now)
+  }
+
+  private getAllowance ({ entry: registration }: UpstreamTracker, limit: number): RateAllowance {
+    const nodes = this.context.listSendingNodes()
+    const cached = this.allowancesByWorker.get(registration.id)
+    if (cached !== undefined && cached.limit === limit && cached.nodes === nodes) return cached.allowance
+    const allowance = divideRateLimit({ perSecond: limit, workerId: registration.id, tolerance: this.context.rateTolerance }, nodes, this.computeDemandByDomain(registration.id)).get(this.context.node)!
+    this.allowancesByWorker.set(registration.id, { limit, nodes, allowance })
+    return allowance
+  }
+
+  /** @returns the share of each failure domain's requests that is intended for the worker */
+  private computeDemandByDomain (workerId: string): Map<string, number> {
+    const { regionOf: regionByDomain } = this.context
+    this.sharesByDomain ??= computeWorkerShares(this.listReady(new Set()), regionByDomain)
+    const demandByDomain = new Map<string, number>()
+    for (const [domain, shares] of this.sharesByDomain) demandByDomain.set(domain, shares.get(workerId) ?? 0)
+    return demandByDomain
+  }
+
+  private listReady (evacuatedDomains: ReadonlySet<string>): UpstreamEntry[] {
+    return [...this.trackers.values()]
+      .map(({ entry: registration }) => registration)
+      .filter((entry) => entry.state === UpstreamState.Ready && !evacuatedDomains.has(entry.domain))
+      .sort((left, right) => (left.id < right.id ? -1 : 1))
+  }
+
+  private clearShares (): void {
+    this.rankings.clear()
+    this.allowancesByWorker.clear()
+    this.sharesByDomain = undefined
+  }
+
+  private getRanking (homeRegions: readonly string[], evacuatedDomains: ReadonlySet<string>): KeyRanking {
+    const name = homeRegions.join(' ')
+    let ranking = this.rankings.get(name)
+    if (ranking === undefined) {
+      ranking = this.buildRanking(homeRegions, evacuatedDomains)
+      this.rankings.set(name, ranking)
+    }
+    return ranking
+  }
+
+  private buildRanking (homeRegions: readonly string[], evacuatedDomains: ReadonlySet<string>): KeyRanking {
+    const { regionOf: regionByDomain, domain } = this.context
+    const workers = this.listReady(evacuatedDomains)
+      .filter((registration) => homeRegions.length === 0 || homeRegions.includes(regionByDomain.get(registration.domain) ?? ''))
+    const shares = computeWorkerShares(workers, regionByDomain).get(domain) ?? new Map<string, number>()
+    return new KeyRanking(shares)
+  }
+}
+
+/**
+ * Whether a worker with a rate limit below its demand keeps a key. It keeps a fixed subset of
+ * its keys, and the others move to the next worker. If instead each request beyond the limit
+ * moved, all of the keys would be cache misses at several workers.
+ * @param keptRatio fraction of its keys that the worker keeps
+ */
+function isAssigned (key: string, workerId: string, keptRatio: number): boolean {
+  return computePairHash(key, `limit/${workerId}`) < PAIR_HASH_RANGE * keptRatio
+}
