--- a/packages/entry/src/node/beliefs/recordFollower.ts
+++ b/packages/entry/src/node/beliefs/recordFollower.ts
@@ -66,7 +66,7 @@
   onRead(): void
 }
 
-/** Keeps the records of one process in sync with the store, directly or by other VMs. */
+/** Keeps the records of one process in sync with the store, directly or through other VMs. */
 export class RecordFollower implements SteeringListener, IClosable {
   readonly teller: RecordPublisher
   private readonly subscriber: RecordSubscriber
@@ -102,7 +102,7 @@
     }, telemetry)
     this.subscriber = new RecordSubscriber(fleet.self.name, clock, elapsed, random, telemetry.logger, {
       getRevision: () => viewUpdater.revision,
-      onLine: (line, provenAt) => this.handleLine(line, provenAt),
+      onLine: (line, freshAsOf) => this.handleLine(line, freshAsOf),
       onSourcesChanged: () => { this.update() }
     })
   }
--- a/packages/entry/src/node/quota/accountQuota.ts
+++ b/packages/entry/src/node/quota/accountQuota.ts
@@ -1,6 +1,7 @@
 /**
- * One account's requests at one VM, until each has its part of the quota or is
- * refused: from what the VM has in stock, else from the nearest keeper that has some.
+ * Admits one account's requests at one VM against the account's quota. Each request uses a
+ * token that the VM already has, or one from the nearest owner of a share that has any
+ * left; otherwise it is rejected.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { type Deadline, hasPassed } from '@umberspar/base/common/deadline'
@@ -8,152 +9,152 @@
 import type { QuotaShare } from '@umberspar/steering/common/quota/quotaShares'
 import { QuotaStock, type QuotaToken } from '@umberspar/steering/common/quota/quotaStock'
 import { TakeRate } from '@umberspar/steering/common/quota/takeRate'
-import type { QuotaQuestion } from './quotaMessages.js'
+import type { QuotaRequest } from './quotaMessages.js'
 
-/** How a request for a part of the quota ended. */
+/** Whether a request is within the account's quota. */
 export enum QuotaEnd {
   Given = 'given',
-  /** All keepers said that the account has used its quota up. */
+  /** All share owners responded that the quota is exhausted. */
   Spent = 'spent',
-  /** Some keepers did not answer, and the others have nothing left. */
+  /** Some share owners did not respond, and the others have no tokens left. */
   Unknown = 'unknown'
 }
 
-/** What came of it. */
+/** The decision on one request. */
 export interface QuotaDecision {
   readonly end: QuotaEnd
-  /** To be given back if the request certainly did not run. */
+  /** To be returned if the request certainly did not run. */
   readonly token?: QuotaToken
-  /** If nothing was given: when there may be room again, in milliseconds. */
+  /** If no token was granted: the time until tokens may be available again, in milliseconds. */
   readonly waitMs: number
 }
 
-/** Told what came of it, at once or later. */
+/** Receives the decision, synchronously or later. */
 export type QuotaListener = (decision: QuotaDecision) => void
 
-/** What it asks with. */
-export interface QuotaAsker {
+/** The access of an {@link AccountQuota} to share owners. */
+export interface QuotaEnvironment {
   now(): Instant
-  /** @returns the account's shares, the nearest group first */
+  /** @returns the account's shares, grouped by distance, the nearest group first */
   listGroups(): ReadonlyArray<readonly QuotaShare[]>
-  /** @returns how long what was given may be kept, in milliseconds */
-  getStockMs(): number
-  /** @returns what the keeper gives, or why it gives nothing */
-  ask(question: QuotaQuestion): Promise<QuotaGrant | NoGrant>
+  /** @returns how long a granted token may be used, in milliseconds */
+  getTokenLifetimeMs(): number
+  /** @returns the owner's grant, or why there is none */
+  ask(request: QuotaRequest): Promise<QuotaGrant | NoGrantReason>
 }
 
-/** Why a keeper gave no answer about the account. */
-export enum NoGrant {
-  /** Nobody keeps the share, or whoever was asked does not keep it: another is about to. */
-  NotKept = 'not-kept',
-  /** The keeper does not answer. */
-  Silent = 'silent'
+/** Why there is no grant from the owner of a share. */
+export enum NoGrantReason {
+  /** The share has no owner, or the VM that was asked does not own it. Another VM is about to claim it. */
+  NotOwned = 'not-kept',
+  /** The owner does not respond. */
+  Unresponsive = 'silent'
 }
 
-/** How long a share is passed over, in milliseconds. */
-const PASS_OVER_MS: Readonly<Record<NoGrant, number>> = {
-  [NoGrant.NotKept]: 150,
-  [NoGrant.Silent]: 1_000
+/** How long a share is skipped after a failure. */
+const SHARE_RETRY_DELAYS_MS: Readonly<Record<NoGrantReason, number>> = {
+  [NoGrantReason.NotOwned]: 150,
+  [NoGrantReason.Unresponsive]: 1_000
 }
-/** While keepers do not answer, callers come back after this, in milliseconds. */
-const UNKNOWN_RETRY_MS = 400
+/** The delay after which callers are asked to retry while share owners do not respond. */
+const UNKNOWN_RETRY_DELAY_MS = 400
 
-/** One account at one VM. */
+/** The quota of one account at one VM. */
 export class AccountQuota {
-  private readonly stock = new QuotaStock()
-  private readonly rate = new TakeRate()
-  private readonly emptyUntil = new Map<string, Deadline>()
-  private readonly silentUntil = new Map<string, Deadline>()
+  private readonly tokens = new QuotaStock()
+  private readonly demandRate = new TakeRate()
+  private readonly exhaustedUntil = new Map<string, Deadline>()
+  private readonly unresponsiveUntil = new Map<string, Deadline>()
   private waiting: QuotaListener[] = []
-  private isAsking = false
+  private isRequesting = false
 
   /**
-   * @param account its name
-   * @param asker what it asks with
+   * @param account the account's name
+   * @param environment access to share owners
    */
-  constructor (private readonly account: string, private readonly asker: QuotaAsker) {}
+  constructor (private readonly account: string, private readonly environment: QuotaEnvironment) {}
 
-  /** @param listener told once whether the request may be sent */
+  /** @param listener called once with the decision on the request */
   take (listener: QuotaListener): void {
-    const now = this.asker.now()
-    this.rate.record(now)
-    const token = this.waiting.length === 0 ? this.stock.take(now) : undefined
+    const now = this.environment.now()
+    this.demandRate.record(now)
+    const token = this.waiting.length === 0 ? this.tokens.take(now) : undefined
     if (token !== undefined) {
       listener({ end: QuotaEnd.Given, token, waitMs: 0 })
       return
     }
     this.waiting.push(listener)
-    this.askNext(0)
+    this.askGroup(0)
   }
 
   /** @param token of a request that certainly did not run */
   return (token: QuotaToken): void {
-    this.stock.put(token)
+    this.tokens.put(token)
   }
 
-  /** @returns how much longer all keepers are known to have nothing, in milliseconds; 0 if one may have */
-  getSpentMs (): number {
-    const now = this.asker.now()
-    const waits = this.asker.listGroups().flat().map(({ name }) => (this.emptyUntil.get(name) ?? now) - now)
+  /** @returns how much longer all shares are known to be exhausted, in milliseconds; 0 if one may have tokens */
+  getExhaustedMs (): number {
+    const now = this.environment.now()
+    const waits = this.environment.listGroups().flat().map(({ name }) => (this.exhaustedUntil.get(name) ?? now) - now)
     return Math.max(0, Math.min(...waits))
   }
 
-  /** Asks one group of keepers after the other until nobody waits. */
-  private askNext (group: number): void {
-    if (this.isAsking && group === 0) return
-    this.isAsking = true
-    const groups = this.asker.listGroups()
-    const shares = this.listAskable(groups[group] ?? [])
+  /** Asks the share owners of one group, then those of the next one, until no request is waiting. */
+  private askGroup (group: number): void {
+    if (this.isRequesting && group === 0) return
+    this.isRequesting = true
+    const groups = this.environment.listGroups()
+    const shares = this.listAvailable(groups[group] ?? [])
     if (group >= groups.length) this.endRound()
-    else if (shares.length === 0) this.askNext(group + 1)
+    else if (shares.length === 0) this.askGroup(group + 1)
     else {
-      const wanted = this.countWanted(group, shares.length)
+      const wanted = this.computeWanted(group, shares.length)
       Promise.all(shares.map(async ({ name }) => { await this.askShare(name, wanted) })).then(() => {
-        if (this.waiting.length > 0) this.askNext(group + 1)
-        else this.isAsking = false
+        if (this.waiting.length > 0) this.askGroup(group + 1)
+        else this.isRequesting = false
       }, () => { this.endRound() })
     }
   }
 
-  /** The nearest keeper is asked for what is expected, too; the others only for who waits. */
-  private countWanted (group: number, shares: number): number {
-    const expected = group === 0 ? Math.floor(this.rate.estimate(this.asker.now(), this.asker.getStockMs())) : 0
+  /** The nearest group is also asked for tokens for expected requests, the others only for waiting ones. */
+  private computeWanted (group: number, shares: number): number {
+    const expected = group === 0 ? Math.floor(this.demandRate.estimate(this.environment.now(), this.environment.getTokenLifetimeMs())) : 0
     return Math.ceil(this.waiting.length / shares) + expected
   }
 
-  private listAskable (shares: readonly QuotaShare[]): QuotaShare[] {
-    const now = this.asker.now()
-    return shares.filter(({ name }) => hasPassed(this.emptyUntil.get(name) ?? now, now) && hasPassed(this.silentUntil.get(name) ?? now, now))
+  private listAvailable (shares: readonly QuotaShare[]): QuotaShare[] {
+    const now = this.environment.now()
+    return shares.filter(({ name }) => hasPassed(this.exhaustedUntil.get(name) ?? now, now) && hasPassed(this.unresponsiveUntil.get(name) ?? now, now))
   }
 
   private async askShare (share: string, wanted: number): Promise<void> {
-    const askedAt = this.asker.now()
-    const unused = this.stock.takeUnused(share, askedAt)
-    const grant = await this.asker.ask({ share, account: this.account, wanted, unused })
-    const now = this.asker.now()
+    const askedAt = this.environment.now()
+    const unused = this.tokens.takeUnused(share, askedAt)
+    const grant = await this.environment.ask({ share, account: this.account, wanted, unused })
+    const now = this.environment.now()
     if (typeof grant === 'string') {
-      this.silentUntil.set(share, now + PASS_OVER_MS[grant])
+      this.unresponsiveUntil.set(share, now + SHARE_RETRY_DELAYS_MS[grant])
       return
     }
-    if (grant.given === 0) this.emptyUntil.set(share, now + grant.waitMs)
-    const usableUntil = askedAt + this.asker.getStockMs()
+    if (grant.given === 0) this.exhaustedUntil.set(share, now + grant.waitMs)
+    const usableUntil = askedAt + this.environment.getTokenLifetimeMs()
     for (let count = 0; count < grant.given; count++) this.deliver({ share, usableUntil })
   }
 
   private deliver (token: QuotaToken): void {
     const listener = this.waiting.shift()
-    // One that waits came before the token was given, so the token's age does not matter to it.
-    if (listener === undefined) this.stock.put(token)
+    // The age of the token does not matter to a waiting request, which arrived before the token was granted.
+    if (listener === undefined) this.tokens.put(token)
     else listener({ end: QuotaEnd.Given, token, waitMs: 0 })
   }
 
   private endRound (): void {
-    this.isAsking = false
+    this.isRequesting = false
     const { waiting } = this
     this.waiting = []
-    const now = this.asker.now()
-    const isSilent = this.asker.listGroups().flat().some(({ name }) => !hasPassed(this.silentUntil.get(name) ?? now, now))
-    const decision = isSilent ? { end: QuotaEnd.Unknown, waitMs: UNKNOWN_RETRY_MS } : { end: QuotaEnd.Spent, waitMs: this.getSpentMs() }
+    const now = this.environment.now()
+    const isUnresponsive = this.environment.listGroups().flat().some(({ name }) => !hasPassed(this.unresponsiveUntil.get(name) ?? now, now))
+    const decision = isUnresponsive ? { end: QuotaEnd.Unknown, waitMs: UNKNOWN_RETRY_DELAY_MS } : { end: QuotaEnd.Spent, waitMs: this.getExhaustedMs() }
     for (const listener of waiting) listener(decision)
   }
 }
--- a/packages/entry/src/node/quota/quotaMessages.ts
+++ b/packages/entry/src/node/quota/quotaMessages.ts
@@ -1,29 +1,29 @@
-/** How entry VMs ask each other for parts of an account's quota. */
+/** The messages by which entry VMs request tokens of an account's quota from each other. */
 import type { QuotaGrant } from '@umberspar/steering/common/quota/quotaBuckets'
 import * as z from 'zod/mini'
 
-/** The path of the question; its query is a `QuotaQuestion`. */
+/** The path of the requests, whose query is a {@link QuotaRequest}. */
 export const QUOTA_PATH = '/v1/quota'
 
-/** What is asked of the keeper of a share. */
-export interface QuotaQuestion {
+/** A request to the owner of a share. */
+export interface QuotaRequest {
   readonly share: string
   readonly account: string
-  /** Requests that wait or are expected. */
+  /** The number of tokens for waiting and expected requests. */
   readonly wanted: number
-  /** Requests that were given before and will certainly not be sent. */
+  /** The number of earlier tokens of this share that will certainly not be used. */
   readonly unused: number
 }
 
 const grantShape = z.object({ given: z.int().check(z.nonnegative()), waitMs: z.number().check(z.nonnegative()) })
 
-/** @returns the question's path and query */
-export function formatQuestion ({ share, account, wanted, unused }: QuotaQuestion): string {
+/** @returns the path and query of the request */
+export function formatQuotaRequest ({ share, account, wanted, unused }: QuotaRequest): string {
   return `${QUOTA_PATH}?share=${encodeURIComponent(share)}&account=${encodeURIComponent(account)}&wanted=${wanted}&unused=${unused}`
 }
 
-/** @returns the question; undefined if it cannot be read */
-export function parseQuestion (query: URLSearchParams): QuotaQuestion | undefined {
+/** @returns the request; undefined if the query is invalid */
+export function parseQuotaRequest (query: URLSearchParams): QuotaRequest | undefined {
   const wanted = Number(query.get('wanted'))
   const unused = Number(query.get('unused'))
   const share = query.get('share')
@@ -32,12 +32,12 @@
   return isCount && share !== null && account !== null ? { share, account, wanted, unused } : undefined
 }
 
-/** @returns what the keeper gives; undefined if that cannot be read */
+/** @returns the owner's grant; undefined if the text is invalid */
 export function parseGrant (text: string): QuotaGrant | undefined {
   try {
     return grantShape.parse(JSON.parse(text))
   } catch {
-    // A keeper of another version, or none: the asker treats it as one that does not answer.
+    // The response of another version, or of another program. The caller treats it like no response.
     return undefined
   }
 }
--- a/packages/entry/src/node/quota/shareClaimer.ts
+++ b/packages/entry/src/node/quota/shareClaimer.ts
@@ -1,10 +1,10 @@
 /**
- * Claims shares of the quotas for this VM, and knows which of them are its own.
+ * Claims shares of the quotas for this VM, and tracks which ones it owns.
  *
- * Guards against two VMs that give out the same part of a quota: the store lets one
- * claim a share at a time, and a claim ends with the lease of the VM's record. A VM
- * that is cut off from the store stops when its lease may have ended, and another
- * can only come after it has.
+ * Guards against two VMs that grant the same tokens: the store accepts one claim of a
+ * share at a time, and a claim ends with the lease of the VM's record. A VM that is
+ * disconnected from the store stops granting tokens when its lease may have ended, and
+ * another VM can claim the share only after the lease has ended.
  */
 import type { IClock, Instant, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -18,83 +18,82 @@
 import type { QuotaBuckets } from '@umberspar/steering/common/quota/quotaBuckets'
 import { listShares, planClaims, type QuotaShare, type RegionByDomain } from '@umberspar/steering/common/quota/quotaShares'
 
-/** Changes of VMs and shares that come together are looked at together, in milliseconds. */
-const GATHER_MS = 50
-/** While a share is free, it is looked at so often, in milliseconds. */
-const LOOK_MS = 500
-/** Records that are older may have missed a claim that came and went, which takes a lease's time, in milliseconds. */
-const MOST_FREE_MS = 2_000
+/** Combines changes of VMs and shares that arrive together. */
+const DEBOUNCE_MS = 50
+/** How often a free share is checked. */
+const RECHECK_INTERVAL_MS = 500
+/** A share counts as free for no longer than this: this VM may have missed a claim that was made and ended in the meantime, which takes at least a lease. */
+const MAX_FREE_MS = 2_000
 
-/** What it is built from. */
-export interface ClaimerParts {
+/** Options of a {@link ShareClaimer}. */
+export interface ShareClaimerOptions {
   readonly clock: IClock
   readonly elapsed: ElapsedClock
   readonly logger: ILogger
   readonly view: EntryView
   readonly self: EntryNode
-  /** Tells this process from others of the same VM. */
+  /** Distinguishes this process from other ones of the same VM. */
   readonly life: string
   readonly regionOf: RegionByDomain
   readonly registration: INodeRegistration
   readonly buckets: QuotaBuckets
-  /** When this process began, on the clock that counts suspensions. */
+  /** When this process started, on the {@link ElapsedClock}. */
   readonly startedAt: Instant
   isLeaving(): boolean
 }
 
-/** The claims of one process. */
+/** Claims shares for one process. */
 export class ShareClaimer implements IClosable {
   private readonly shares: readonly QuotaShare[]
-  /** The tenure of each claim of this VM. */
-  private readonly tenures = new Map<string, number>()
-  /** Since when each share is known to be free, on the clock that counts suspensions. */
+  /** The lease of each claim of this VM, by share. */
+  private readonly leaseIds = new Map<string, number>()
+  /** Since when each share is known to be free, on the {@link ElapsedClock}. */
   private readonly freeSince = new Map<string, Instant>()
   private readonly claiming = new Set<string>()
   private timer: ITimer | undefined
 
-  /** @param parts what it is built from */
-  constructor (private readonly parts: ClaimerParts) {
-    this.shares = listShares(parts.regionOf)
+  constructor (private readonly options: ShareClaimerOptions) {
+    this.shares = listShares(options.regionOf)
   }
 
-  /** @returns how many shares this VM keeps */
-  countKept (): number {
-    return this.shares.filter(({ name }) => this.isKept(name)).length
+  /** @returns the number of shares that this VM owns */
+  countOwned (): number {
+    return this.shares.filter(({ name }) => this.isOwned(name)).length
   }
 
   /**
    * @param share a share
-   * @returns whether this VM is surely its only keeper at this moment
+   * @returns whether this VM is certainly the only owner of the share at this moment
    */
-  isKept (share: string): boolean {
-    const { registration, elapsed, isLeaving } = this.parts
+  isOwned (share: string): boolean {
+    const { registration, elapsed, isLeaving } = this.options
     const { tenure } = registration
-    return tenure !== undefined && !isLeaving() && this.tenures.get(share) === tenure.id && elapsed.now() < tenure.until
+    return tenure !== undefined && !isLeaving() && this.leaseIds.get(share) === tenure.id && elapsed.now() < tenure.until
   }
 
-  /** Takes over that VMs, shares or accounts have changed. */
+  /** Handles a change of VMs, shares or accounts. */
   handleChange (): void {
-    this.scheduleUpdate(GATHER_MS)
+    this.scheduleUpdate(DEBOUNCE_MS)
   }
 
-  /** Claims nothing more. */
+  /** Stops claiming shares. */
   close (): void {
     this.timer?.close()
     this.timer = undefined
   }
 
-  private scheduleUpdate (pauseMs: number): void {
-    const { clock } = this.parts
-    this.timer ??= clock.schedule(clock.now() + pauseMs, () => {
+  private scheduleUpdate (delayMs: number): void {
+    const { clock } = this.options
+    this.timer ??= clock.schedule(clock.now() + delayMs, () => {
       this.timer = undefined
       this.update()
     })
   }
 
   private update (): void {
-    const { view, self, regionOf, buckets, registration, isLeaving } = this.parts
+    const { view, self, regionOf, buckets, registration, isLeaving } = this.options
     if (!buckets.hasQuotas || isLeaving()) return
-    if (registration.tenure === undefined) return this.scheduleUpdate(GATHER_MS)
+    if (registration.tenure === undefined) return this.scheduleUpdate(DEBOUNCE_MS)
     const nodes = [...view.nodes.values()]
     for (const share of this.shares) {
       const delayMs = planClaims(share, nodes, regionOf).get(self.name)
@@ -103,53 +102,54 @@
   }
 
   private checkShare (share: string, delayMs: number): void {
-    const claim = this.parts.view.shares.get(share)
-    // This VM's own claim may not have come back with the records yet.
-    const isTaken = claim === undefined ? this.isKept(share) : !this.isReplaceable(share, claim)
+    const claim = this.options.view.shares.get(share)
+    // This VM's own claim may not have arrived with the records yet.
+    const isTaken = claim === undefined ? this.isOwned(share) : !this.isReplaceable(share, claim)
     if (isTaken) {
       this.freeSince.delete(share)
       return
     }
-    const now = this.parts.elapsed.now()
+    const now = this.options.elapsed.now()
     const freeSince = this.freeSince.get(share) ?? now
     this.freeSince.set(share, freeSince)
     const isDue = claim !== undefined || now >= freeSince + delayMs
-    if (isDue && !this.claiming.has(share)) runDetached(() => this.claim(share, claim?.revision ?? 0), this.parts.logger, 'claim-share')
-    this.scheduleUpdate(LOOK_MS)
+    if (isDue && !this.claiming.has(share)) runDetached(() => this.claim(share, claim?.revision ?? 0), this.options.logger, 'claim-share')
+    this.scheduleUpdate(RECHECK_INTERVAL_MS)
   }
 
-  /** The claim of a former process of this VM, or of a former lease of this one: nobody gives anything under it any more. */
-  private isReplaceable (share: string, { keeper }: ShareClaim): boolean {
-    const { self, life, registration } = this.parts
-    if (keeper.node !== self.name) return false
-    return keeper.life !== life || this.tenures.get(share) !== registration.tenure?.id
+  /** @returns whether the claim belongs to a previous process of this VM, or to a previous lease of this one, so that no VM grants tokens under it any more */
+  private isReplaceable (share: string, { keeper: owner }: ShareClaim): boolean {
+    const { self, life, registration } = this.options
+    if (owner.node !== self.name) return false
+    return owner.life !== life || this.leaseIds.get(share) !== registration.tenure?.id
   }
 
   /**
-   * Since when nobody has given anything of the share: a former process of this VM ended
-   * before this one began, and a share is free only after its keeper's lease has ended.
+   * Determines since when no VM has granted tokens of the share: a previous process of this
+   * VM ended before this one started, and a share is free only after its owner's lease has ended.
+   * @returns an instant on the {@link ElapsedClock}
    */
-  private readFilledSince (share: string): Instant {
-    const { view, self, startedAt, elapsed } = this.parts
-    const keeper = view.shares.get(share)?.keeper
-    const isOwnFormer = keeper !== undefined && keeper.node === self.name && keeper.life !== this.parts.life
-    if (isOwnFormer) return startedAt
+  private computeUnusedSince (share: string): Instant {
+    const { view, self, startedAt, elapsed } = this.options
+    const owner = view.shares.get(share)?.keeper
+    const isPreviousProcess = owner !== undefined && owner.node === self.name && owner.life !== this.options.life
+    if (isPreviousProcess) return startedAt
     const now = elapsed.now()
-    const freeSince = keeper === undefined ? this.freeSince.get(share) ?? now : now
-    return Math.max(freeSince, now - MOST_FREE_MS)
+    const freeSince = owner === undefined ? this.freeSince.get(share) ?? now : now
+    return Math.max(freeSince, now - MAX_FREE_MS)
   }
 
   private async claim (share: string, expectedRevision: number): Promise<void> {
-    const { registration, self, life, logger, buckets } = this.parts
+    const { registration, self, life, logger, buckets } = this.options
     if (registration.tenure === undefined) return
     this.claiming.add(share)
-    const filledSince = this.readFilledSince(share)
+    const unusedSince = this.computeUnusedSince(share)
     const claimed = await registration.claimShare({ share, node: self.name, life, peerAddress: self.peerAddress }, expectedRevision)
     this.claiming.delete(share)
     if (claimed.ok) {
-      this.tenures.set(share, claimed.val)
-      buckets.startShare(share, filledSince)
-      logger.log(LogLevel.Info, { step: 'claim-share', share }, 'this VM keeps a share of the quotas')
+      this.leaseIds.set(share, claimed.val)
+      buckets.startShare(share, unusedSince)
+      logger.log(LogLevel.Info, { step: 'claim-share', share }, 'claimed a share of the quotas')
     } else if (claimed.val.code !== ErrorCode.Conflict) logError(logger, LogLevel.Warn, claimed.val)
   }
 }
--- a/packages/entry/test/node/quota/shareClaimer.test.ts
+++ b/packages/entry/test/node/quota/shareClaimer.test.ts
@@ -23,7 +23,7 @@
   readonly expectedRevision: number
 }
 
-/** One VM that claims; `answer` is what the store says. */
+/** @param answer gets the store's response to each claim */
 function createClaimer (name: string, answer: () => Result<number, StepError>) {
   const clock = new ManualClock(0, 1_000_000)
   const elapsed = new ElapsedClock(clock)
@@ -45,62 +45,62 @@
   buckets.setAccounts([{ name: 'a', keyDigests: [], priority: undefined, quota: { ratePerSecond: 10, burst: 10 }, homeRegions: [] }], 0)
   const self = NODES.find((node) => node.name === name)!
   const claimer = new ShareClaimer({ clock, elapsed, logger: LOGGER, view, self, life: 'present', regionOf: REGIONS, registration, buckets, startedAt: elapsed.now(), isLeaving: () => false })
-  return { clock, claims, view, claimer, listFor: (share: string) => claims.filter(({ keeper }) => keeper.share === share) }
+  return { clock, claims, view, claimer, listClaims: (share: string) => claims.filter(({ keeper }) => keeper.share === share) }
 }
 
 function refuse (): Result<number, StepError> {
-  return Err(new StepError({ code: ErrorCode.Conflict, step: 'claim-share', peer: 'store', message: 'another came first' }))
+  return Err(new StepError({ code: ErrorCode.Conflict, step: 'claim-share', peer: 'store', message: 'another VM claimed the share first' }))
 }
 
 describe('claims of shares', () => {
   const [first, second] = [...planClaims(SHARE!, NODES, REGIONS).keys()]
 
-  it('are made by the first VM at once and by the next ones only when it does not', async () => {
+  it('are made by the first VM at once, and by the next ones only after a delay', async () => {
     const one = createClaimer(first!, () => Ok(7))
     one.claimer.handleChange()
     await one.clock.runFor(100)
-    assert.equal(one.listFor(SHARE!.name).length, 1)
+    assert.equal(one.listClaims(SHARE!.name).length, 1)
     const other = createClaimer(second!, () => Ok(7))
     other.claimer.handleChange()
     await other.clock.runFor(900)
-    assert.equal(other.listFor(SHARE!.name).length, 0)
+    assert.equal(other.listClaims(SHARE!.name).length, 0)
     await other.clock.runFor(1_500)
-    assert.equal(other.listFor(SHARE!.name).length, 1)
+    assert.equal(other.listClaims(SHARE!.name).length, 1)
   })
 
-  it('count only if the store took them', async () => {
-    // Two VMs whose lists differ claimed one share in the same moment. The one that came
-    // second must give nothing, though its claim was sent.
-    const { clock, claimer, listFor } = createClaimer(first!, refuse)
+  it('count only if the store accepted them', async () => {
+    // Guards against two owners of one share: VMs with different VM lists claim a share at the
+    // same moment, and the second one must grant no tokens although it sent a claim.
+    const { clock, claimer, listClaims } = createClaimer(first!, refuse)
     claimer.handleChange()
     await clock.runFor(100)
-    assert.equal(listFor(SHARE!.name).length, 1)
-    assert.equal(claimer.isKept(SHARE!.name), false)
+    assert.equal(listClaims(SHARE!.name).length, 1)
+    assert.equal(claimer.isOwned(SHARE!.name), false)
   })
 
-  it('of a former process of the same VM are replaced by their revision, and those of others are left alone', async () => {
-    const { clock, claimer, view, listFor } = createClaimer(first!, () => Ok(7))
+  it('of a previous process of the same VM are replaced by their revision, and those of other VMs are not', async () => {
+    const { clock, claimer, view, listClaims } = createClaimer(first!, () => Ok(7))
     view.shares.set(SHARE!.name, { keeper: { share: SHARE!.name, node: first!, life: 'former', peerAddress: '' }, revision: 41 })
     claimer.handleChange()
     await clock.runFor(100)
-    assert.equal(listFor(SHARE!.name)[0]?.expectedRevision, 41)
+    assert.equal(listClaims(SHARE!.name)[0]?.expectedRevision, 41)
     const other = createClaimer(first!, () => Ok(7))
     other.view.shares.set(SHARE!.name, { keeper: { share: SHARE!.name, node: second!, life: 'x', peerAddress: '' }, revision: 41 })
     other.claimer.handleChange()
     await other.clock.runFor(10_000)
-    assert.equal(other.listFor(SHARE!.name).length, 0)
+    assert.equal(other.listClaims(SHARE!.name).length, 0)
   })
 
-  it('hold no longer than the lease surely does', async () => {
-    // A keeper was paused beyond its lease. Awake again, it answered the questions that had
-    // waited, while another VM kept the share already.
+  it('end no later than the lease', async () => {
+    // Guards against an owner that is paused beyond its lease: when it resumes, it would
+    // respond to requests that have waited, while another VM already owns the share.
     const { clock, claimer } = createClaimer(first!, () => Ok(7))
     claimer.handleChange()
     await clock.runFor(100)
-    assert.ok(claimer.isKept(SHARE!.name))
+    assert.ok(claimer.isOwned(SHARE!.name))
     clock.stepTo(59_999)
-    assert.ok(claimer.isKept(SHARE!.name))
+    assert.ok(claimer.isOwned(SHARE!.name))
     clock.stepTo(60_000)
-    assert.ok(!claimer.isKept(SHARE!.name))
+    assert.ok(!claimer.isOwned(SHARE!.name))
   })
 })
--- a/packages/entry/test/node/quota/worldStore.ts
+++ b/packages/entry/test/node/quota/worldStore.ts
@@ -1,4 +1,4 @@
-/** The store of a simulated world: records under leases, one claim of a share at a time. */
+/** The store of a simulation. */
 import type { IClock, Instant } from '@umberspar/base/common/clock'
 import type { SteeringRecord } from '@umberspar/steering/common/entry/records'
 
@@ -8,8 +8,8 @@
   endsAt: Instant
 }
 
-/** The store: claims under leases, one at a time. */
-export class WorldStore {
+/** Keeps records under leases. */
+export class SimulatedStore {
   readonly leases = new Map<number, Lease>()
   readonly records = new Map<string, { record: SteeringRecord, lease: number }>()
   revision = 1
--- a/packages/entry/test/node/quota/worldVm.ts
+++ b/packages/entry/test/node/quota/worldVm.ts
@@ -1,4 +1,4 @@
-/** One entry VM of a simulated world: the product's quotas over links and a store that fail. */
+/** An entry VM of a simulation: the quotas of the product, with links and a store that fail. */
 import type { IClock, Instant, ITimer } from '@umberspar/base/common/clock'
 import { ElapsedClock } from '@umberspar/base/common/elapsedClock'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
@@ -14,55 +14,55 @@
 import type { QuotaTolerance } from '@umberspar/steering/common/quota/quotaBudget'
 import { QuotaBuckets, type QuotaGrant } from '@umberspar/steering/common/quota/quotaBuckets'
 import { listAccountShares, splitByNearness } from '@umberspar/steering/common/quota/quotaShares'
-import { AccountQuota, NoGrant, QuotaEnd } from '../../../src/node/quota/accountQuota.js'
-import type { QuotaQuestion } from '../../../src/node/quota/quotaMessages.js'
+import { AccountQuota, NoGrantReason, QuotaEnd } from '../../../src/node/quota/accountQuota.js'
+import type { QuotaRequest } from '../../../src/node/quota/quotaMessages.js'
 import { ShareClaimer } from '../../../src/node/quota/shareClaimer.js'
-import { LEASE_MS, type WorldStore } from './worldStore.js'
+import { LEASE_MS, type SimulatedStore } from './worldStore.js'
 
-/** What is left out, to show that the check finds what it guards against. */
-export interface QuotaWorldFlaws {
-  /** A keeper goes on after its lease may have ended. */
+/** Deliberate flaws, which show that the tests detect what they guard against. */
+export interface SimulationFlaws {
+  /** A share owner continues to grant tokens after its lease may have ended. */
   readonly ignoresLeaseEnd?: boolean
-  /** VMs keep what they were given for ever. */
-  readonly keepsStock?: boolean
+  /** VMs keep granted tokens forever. */
+  readonly keepsTokens?: boolean
 }
 
 export const REGIONS: ReadonlyMap<string, string> = new Map([['n-1', 'n'], ['n-2', 'n'], ['s-1', 's']])
 export const TOLERANCE: QuotaTolerance = { windowMs: 5_000, over: 0.1, slack: 20 }
 export const ACCOUNT = 'families'
-const RENEW_MS = 2_200
-const ANSWER_MS = 220
+const RENEWAL_INTERVAL_MS = 2_200
+const RESPONSE_TIMEOUT_MS = 220
 const SILENT_LOGGER: ILogger = { log: () => {}, createChild: () => SILENT_LOGGER }
 
-/** One request that was sent and has run. */
+/** A request that was sent and has run. */
 export interface Run {
   readonly sentAt: Instant
   readonly ranAt: Instant
 }
 
-/** What a VM lives in. */
-export interface IWorld {
+/** The simulation as its VMs see it. */
+export interface ISimulation {
   readonly clock: ManualClock
   readonly random: SeededRandom
-  readonly store: WorldStore
+  readonly store: SimulatedStore
   readonly account: AccountPolicy
-  readonly flaws: QuotaWorldFlaws
+  readonly flaws: SimulationFlaws
   readonly runs: Run[]
-  readonly lostPart: number
+  readonly lossRatio: number
   refused: number
-  send(from: string, to: string, deliver: (vm: WorldVm) => void): void
-  returnTo<T>(vm: WorldVm, handle: (value: T) => void): (value: T) => void
+  send(from: string, to: string, deliver: (vm: SimulatedVm) => void): void
+  createReplyCallback<T>(vm: SimulatedVm, handle: (value: T) => void): (value: T) => void
 }
 
-/** One VM: a process with a clock that stands still for nobody, and timers that wait while it is paused. */
-export class WorldVm implements IClock, INodeRegistration {
-  private life = 0
+/** A VM with one process at a time. Its clock advances while the process is paused; its timers are deferred. */
+export class SimulatedVm implements IClock, INodeRegistration {
+  private processNumber = 0
   private lease: number | undefined
   private leaseUntil = 0
   private deferred: Array<() => void> = []
   private isPaused = false
   isDead = false
-  isCut = false
+  isCutFromStore = false
   readonly cutFrom = new Set<string>()
   private view!: EntryView
   private buckets!: QuotaBuckets
@@ -70,23 +70,23 @@
   private quota!: AccountQuota
   private elapsed!: ElapsedClock
 
-  constructor (private readonly world: IWorld, readonly node: EntryNode) {
+  constructor (private readonly simulation: ISimulation, readonly node: EntryNode) {
     this.startProcess()
   }
 
-  now (): Instant { return this.world.clock.now() }
+  now (): Instant { return this.simulation.clock.now() }
 
-  getWallTime (): number { return this.world.clock.getWallTime() }
+  getWallTime (): number { return this.simulation.clock.getWallTime() }
 
   schedule (at: Instant, callback: () => void): ITimer {
-    return this.world.clock.schedule(at, this.keepIn(callback))
+    return this.simulation.clock.schedule(at, this.createProcessCallback(callback))
   }
 
-  /** @returns what runs only in the process that made it, and not while that is paused */
-  keepIn (callback: () => void): () => void {
-    const { life } = this
+  /** @returns a callback that runs only in the process that created it, deferred while that is paused */
+  createProcessCallback (callback: () => void): () => void {
+    const { processNumber } = this
     const run = (): void => {
-      if (this.isDead || life !== this.life) return
+      if (this.isDead || processNumber !== this.processNumber) return
       if (this.isPaused) this.deferred.push(run)
       else callback()
     }
@@ -94,19 +94,19 @@
   }
 
   startProcess (): void {
-    this.life++
+    this.processNumber++
     this.isDead = false
     this.lease = undefined
     this.elapsed = new ElapsedClock(this)
     this.view = new EntryView({ node: this.node.name, domain: this.node.domain, regionOf: REGIONS, distances: new DomainDistances(this.node.domain, REGIONS), coldTolerance: { factor: 1, slack: 1 }, rateTolerance: { factor: 1.5, slack: 5 }, budget: { ratio: 1, windowMs: 1, slack: 1 } })
     this.buckets = new QuotaBuckets(TOLERANCE, REGIONS)
-    this.buckets.setAccounts([this.world.account], this.elapsed.now())
-    this.claimer = new ShareClaimer({ clock: this, elapsed: this.elapsed, logger: SILENT_LOGGER, view: this.view, self: this.node, life: String(this.life), regionOf: REGIONS, registration: this, buckets: this.buckets, startedAt: this.elapsed.now(), isLeaving: () => this.isDead })
+    this.buckets.setAccounts([this.simulation.account], this.elapsed.now())
+    this.claimer = new ShareClaimer({ clock: this, elapsed: this.elapsed, logger: SILENT_LOGGER, view: this.view, self: this.node, life: String(this.processNumber), regionOf: REGIONS, registration: this, buckets: this.buckets, startedAt: this.elapsed.now(), isLeaving: () => this.isDead })
     this.quota = new AccountQuota(ACCOUNT, {
       now: () => this.elapsed.now(),
       listGroups: () => splitByNearness(listAccountShares(ACCOUNT, REGIONS), this.node.domain, REGIONS),
-      getStockMs: () => this.world.flaws.keepsStock === true ? Infinity : this.buckets.readPart(ACCOUNT)!.stockMs,
-      ask: async (question) => await this.ask(question)
+      getTokenLifetimeMs: () => this.simulation.flaws.keepsTokens === true ? Infinity : this.buckets.readPart(ACCOUNT)!.stockMs,
+      ask: async (request) => await this.ask(request)
     })
     this.keepLease()
     this.readStore()
@@ -121,52 +121,52 @@
   pause (spanMs: number): void {
     if (this.isDead || this.isPaused) return
     this.isPaused = true
-    this.world.clock.schedule(this.now() + spanMs, () => {
+    this.simulation.clock.schedule(this.now() + spanMs, () => {
       this.isPaused = false
       const { deferred } = this
       this.deferred = []
-      for (const run of deferred) run()
+      for (const callback of deferred) callback()
     })
   }
 
-  /** A caller sends a request here. */
+  /** Sends a request from a caller to this VM. */
   sendRequest (): void {
     const sentAt = this.now()
-    this.keepIn(() => {
+    this.createProcessCallback(() => {
       this.quota.take(({ end, token }) => {
         if (end !== QuotaEnd.Given) {
-          this.world.refused++
+          this.simulation.refused++
           return
         }
-        // Some are not sent after all, and what they were given goes back.
-        if (this.world.random.next() < 0.1 && token !== undefined) this.quota.return(token)
-        else this.schedule(this.now() + this.world.random.next() * 40, () => { this.world.runs.push({ sentAt, ranAt: this.now() }) })
+        // Some requests are not sent after all, and return their token.
+        if (this.simulation.random.next() < 0.1 && token !== undefined) this.quota.return(token)
+        else this.schedule(this.now() + this.simulation.random.next() * 40, () => { this.simulation.runs.push({ sentAt, ranAt: this.now() }) })
       })
     })()
   }
 
-  countKept (): number {
-    return this.claimer.countKept()
+  countOwned (): number {
+    return this.claimer.countOwned()
   }
 
-  // The registration.
+  // INodeRegistration.
 
   get tenure (): Tenure | undefined {
     if (this.lease === undefined) return undefined
-    return { id: this.lease, until: this.world.flaws.ignoresLeaseEnd === true ? Infinity : this.leaseUntil }
+    return { id: this.lease, until: this.simulation.flaws.ignoresLeaseEnd === true ? Infinity : this.leaseUntil }
   }
 
-  async claimShare (keeper: ShareKeeper, expectedRevision: number): Promise<Result<number, StepError>> {
+  async claimShare (owner: ShareKeeper, expectedRevision: number): Promise<Result<number, StepError>> {
     const { lease } = this
-    const key = `share/${keeper.share}`
+    const key = `share/${owner.share}`
     const written = await this.callStore(() => {
-      const known = this.world.store.records.get(key)?.record.revision ?? 0
-      if (lease === undefined || !this.world.store.leases.has(lease) || known !== expectedRevision) return false
-      this.world.store.put({ kind: RecordKind.Share, key, revision: 0, value: keeper }, lease)
+      const known = this.simulation.store.records.get(key)?.record.revision ?? 0
+      if (lease === undefined || !this.simulation.store.leases.has(lease) || known !== expectedRevision) return false
+      this.simulation.store.put({ kind: RecordKind.Share, key, revision: 0, value: owner }, lease)
       return true
     })
     if (written === true) return Ok(lease!)
-    return Err(new StepError({ code: ErrorCode.Conflict, step: 'claim-share', peer: 'store', message: 'lost or refused' }))
+    return Err(new StepError({ code: ErrorCode.Conflict, step: 'claim-share', peer: 'store', message: 'claim was lost or refused' }))
   }
 
   start (): void {}
@@ -180,31 +180,31 @@
   private keepLease (): void {
     const askedAt = this.elapsed.now()
     const lease = this.lease
-    const run = this.keepIn(() => {
+    const callback = this.createProcessCallback(() => {
       this.callStore(() => {
-        if (lease !== undefined && this.world.store.leases.has(lease)) {
-          this.world.store.leases.get(lease)!.endsAt = this.now() + LEASE_MS
+        if (lease !== undefined && this.simulation.store.leases.has(lease)) {
+          this.simulation.store.leases.get(lease)!.endsAt = this.now() + LEASE_MS
           return lease
         }
-        const made = this.world.store.createLease()
-        this.world.store.put({ kind: RecordKind.Node, key: `vm/${this.node.name}`, revision: 0, value: this.node }, made)
-        return made
-      }).then(this.world.returnTo(this, (id) => {
+        const created = this.simulation.store.createLease()
+        this.simulation.store.put({ kind: RecordKind.Node, key: `vm/${this.node.name}`, revision: 0, value: this.node }, created)
+        return created
+      }).then(this.simulation.createReplyCallback(this, (id) => {
         if (id === undefined) return
         this.lease = id
         this.leaseUntil = askedAt + LEASE_MS
       }), () => {})
     })
-    run()
-    this.schedule(this.now() + RENEW_MS, () => { this.keepLease() })
+    callback()
+    this.schedule(this.now() + RENEWAL_INTERVAL_MS, () => { this.keepLease() })
   }
 
-  /** Takes over everything that the store holds, late and not while it is cut off. */
+  /** Reads all records of the store, after a delay, and not while the VM is disconnected from it. */
   private readStore (): void {
-    this.callStore(() => [...this.world.store.records.values()].map(({ record }) => record)).then(this.world.returnTo(this, (records) => {
+    this.callStore(() => [...this.simulation.store.records.values()].map(({ record }) => record)).then(this.simulation.createReplyCallback(this, (records) => {
       if (records !== undefined) this.applyRecords(records)
     }), () => {})
-    this.schedule(this.now() + 100 + this.world.random.next() * 300, () => { this.readStore() })
+    this.schedule(this.now() + 100 + this.simulation.random.next() * 300, () => { this.readStore() })
   }
 
   private applyRecords (records: readonly SteeringRecord[]): void {
@@ -220,36 +220,36 @@
     this.claimer.handleChange()
   }
 
-  /** @returns what the store answers; undefined if the call or its answer is lost */
+  /** @returns the store's response; undefined if the call or its response is lost */
   private async callStore<T> (call: () => T): Promise<T | undefined> {
-    const { clock, random } = this.world
+    const { clock, random } = this.simulation
     return await new Promise((resolve) => {
       clock.schedule(clock.now() + 2 + random.next() * 60, () => {
-        if (this.isCut) return resolve(undefined)
-        this.world.store.endDueLeases()
+        if (this.isCutFromStore) return resolve(undefined)
+        this.simulation.store.endDueLeases()
         const answer = call()
-        const isLost = random.next() < this.world.lostPart
-        clock.schedule(clock.now() + 2 + random.next() * 60, () => { resolve(isLost || this.isCut ? undefined : answer) })
+        const isLost = random.next() < this.simulation.lossRatio
+        clock.schedule(clock.now() + 2 + random.next() * 60, () => { resolve(isLost || this.isCutFromStore ? undefined : answer) })
       })
     })
   }
 
-  // The keeper and who asks it.
+  // Requests to share owners, and grants.
 
-  private async ask (question: QuotaQuestion): Promise<QuotaGrant | NoGrant> {
-    const keeper = this.view.shares.get(question.share)?.keeper
-    if (keeper === undefined) return NoGrant.NotKept
+  private async ask (request: QuotaRequest): Promise<QuotaGrant | NoGrantReason> {
+    const owner = this.view.shares.get(request.share)?.keeper
+    if (owner === undefined) return NoGrantReason.NotOwned
     return await new Promise((resolve) => {
-      const settle = this.world.returnTo(this, resolve)
-      this.schedule(this.now() + ANSWER_MS, () => { resolve(NoGrant.Silent) })
-      this.world.send(this.node.name, keeper.node, (vm) => {
-        const grant = vm.answer(question)
-        this.world.send(keeper.node, this.node.name, () => { settle(grant ?? NoGrant.NotKept) })
+      const settle = this.simulation.createReplyCallback(this, resolve)
+      this.schedule(this.now() + RESPONSE_TIMEOUT_MS, () => { resolve(NoGrantReason.Unresponsive) })
+      this.simulation.send(this.node.name, owner.node, (vm) => {
+        const grant = vm.answer(request)
+        this.simulation.send(owner.node, this.node.name, () => { settle(grant ?? NoGrantReason.NotOwned) })
       })
     })
   }
 
-  answer ({ share, account, wanted, unused }: QuotaQuestion): QuotaGrant | undefined {
-    return this.claimer.isKept(share) ? this.buckets.take(share, account, wanted, unused, this.elapsed.now()) : undefined
+  answer ({ share, account, wanted, unused }: QuotaRequest): QuotaGrant | undefined {
+    return this.claimer.isOwned(share) ? this.buckets.take(share, account, wanted, unused, this.elapsed.now()) : undefined
   }
 }
