--- a/packages/entry/src/node/quarantine/crashReporter.ts
+++ b/packages/entry/src/node/quarantine/crashReporter.ts
@@ -1,7 +1,7 @@
 /**
- * Writes this VM's crash reports, and quarantines that it decided on, to the store.
- * The records outlive the process: a request that took three workers down must not
- * be forgotten because the VM that knew of it was restarted.
+ * Writes this VM's crash reports, and the quarantines that it decided on, to the store.
+ * The records outlive the process: a request that has crashed three workers must stay
+ * known when the VM that reported it is restarted.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -13,67 +13,66 @@
 import type { IRecordWriter } from '@umberspar/steering/common/ports/steeringSource'
 import type { AnswerReport, CrashReport, Quarantine } from '@umberspar/steering/common/quarantine/crashReport'
 
-/** Reports of one crash come together. */
+/** Combines the reports of one crash into one write. */
 const BATCH_DELAY_MS = 100
 const RETRY_DELAY_MS = 500
-/** Bounds the record, which reaches every entry VM whole; a report takes about 80 bytes. */
+/** Limits the size of the record, which is sent to every entry VM. A report takes about 80 bytes. */
 const MAX_REPORTS = 128
 
-/** What it is built from. */
-export interface ReporterParts {
+/** Options of a {@link CrashReporter}. */
+export interface CrashReporterOptions {
   readonly clock: IClock
   readonly logger: ILogger
   readonly view: EntryView
   readonly writer: IRecordWriter
   /** This VM's name. */
   readonly node: string
-  readonly reportSpanMs: number
+  readonly reportLifetimeMs: number
 }
 
 /** A report with the wall time at which it expires. */
-interface Timed<T> {
+interface Expiring<T> {
   readonly report: T
   readonly expiresAt: number
 }
 
-/** The writer of one VM's reports. */
+/** Writes the reports of one VM. */
 export class CrashReporter implements IClosable {
-  private crashes: Array<Timed<CrashReport>> = []
-  private answers: Array<Timed<AnswerReport>> = []
+  private crashes: Array<Expiring<CrashReport>> = []
+  private answers: Array<Expiring<AnswerReport>> = []
   private readonly quarantines = new Map<string, Quarantine>()
-  /** Requests whose quarantine this VM refuted. */
-  private readonly releases = new Set<string>()
-  private hasFormer = false
+  /** Requests whose quarantine is to be removed, as a worker has answered them. */
+  private readonly pendingReleases = new Set<string>()
+  private hasMergedPrevious = false
   private isChanged = false
   private isWriting = false
   private isClosed = false
   private timer: ITimer | undefined
   private dueAt: Deadline = Infinity
 
-  /** @param parts what it is built from */
-  constructor (private readonly parts: ReporterParts) {}
+  constructor (private readonly options: CrashReporterOptions) {}
 
-  /** Reports a crash soon. */
+  /** Schedules the report of a crash. */
   addCrash (report: CrashReport): void {
     this.crashes = [...this.crashes, this.addExpiry(report)].slice(-MAX_REPORTS)
     this.isChanged = true
     this.schedule(BATCH_DELAY_MS)
   }
 
-  /** Reports soon that a worker answered a request, and ends a quarantine of it. */
+  /** Schedules the report that a worker answered a request, and removes a quarantine of that request. */
   addAnswer (report: AnswerReport): void {
     this.answers = [...this.answers, this.addExpiry(report)].slice(-MAX_REPORTS)
     this.crashes = this.crashes.filter((crash) => crash.report.digest !== report.digest)
     this.quarantines.delete(report.digest)
-    this.releases.add(report.digest)
+    this.pendingReleases.add(report.digest)
     this.isChanged = true
     this.schedule(BATCH_DELAY_MS)
   }
 
-  /** Writes a quarantine, as often as it takes to succeed. */
+  /** Writes a quarantine, with retries until it succeeds. */
   putQuarantine (quarantine: Quarantine): void {
     this.quarantines.set(quarantine.digest, quarantine)
-    this.releases.delete(quarantine.digest)
+    this.pendingReleases.delete(quarantine.digest)
     this.schedule(0)
   }
 
@@ -82,20 +81,20 @@
     this.timer?.close()
   }
 
-  private addExpiry<T> (report: T): Timed<T> {
-    return { report, expiresAt: this.parts.clock.getWallTime() + this.parts.reportSpanMs }
+  private addExpiry<T> (report: T): Expiring<T> {
+    return { report, expiresAt: this.options.clock.getWallTime() + this.options.reportLifetimeMs }
   }
 
   private schedule (delayMs: number): void {
-    const { clock } = this.parts
+    const { clock } = this.options
     const dueAt = clock.now() + delayMs
-    // A later report must not put off what is due.
+    // A later report must not delay a write that is already scheduled.
     if (this.isWriting || this.isClosed || dueAt >= this.dueAt) return
     this.timer?.close()
     this.dueAt = dueAt
     this.timer = clock.schedule(dueAt, () => {
       this.dueAt = Infinity
-      runDetached(() => this.writeAll(), this.parts.logger, 'report-crashes')
+      runDetached(() => this.writeAll(), this.options.logger, 'report-crashes')
     })
   }
 
@@ -108,11 +107,11 @@
   }
 
   private async writeQuarantines (): Promise<boolean> {
-    const { view, writer, logger } = this.parts
+    const { view, writer, logger } = this.options
     for (const quarantine of [...this.quarantines.values()]) {
       const known = view.quarantines.get(quarantine.digest)
       const written = await writer.putQuarantine(quarantine, known?.revision ?? 0)
-      // Another VM came first.
+      // After a conflict, another VM has already written it.
       if (written.ok || written.val.code === ErrorCode.Conflict) this.quarantines.delete(quarantine.digest)
       else {
         logError(logger, LogLevel.Warn, written.val)
@@ -123,9 +122,9 @@
   }
 
   private async writeReports (): Promise<boolean> {
-    const { writer, logger, node, clock } = this.parts
+    const { writer, logger, node, clock } = this.options
     if (!this.isChanged) return true
-    this.mergeFormer()
+    this.mergePrevious()
     const wallTime = clock.getWallTime()
     this.crashes = this.crashes.filter(({ expiresAt }) => expiresAt > wallTime)
     this.answers = this.answers.filter(({ expiresAt }) => expiresAt > wallTime)
@@ -144,28 +143,28 @@
   }
 
   private async removeReleased (): Promise<boolean> {
-    const { view, writer, logger } = this.parts
-    for (const digest of [...this.releases]) {
+    const { view, writer, logger } = this.options
+    for (const digest of [...this.pendingReleases]) {
       const known = view.quarantines.get(digest)
       const removed = known === undefined ? undefined : await writer.remove(known)
       if (removed !== undefined && !removed.ok && removed.val.code !== ErrorCode.Conflict) {
         logError(logger, LogLevel.Warn, removed.val)
         return false
       }
-      this.releases.delete(digest)
+      this.pendingReleases.delete(digest)
     }
     return true
   }
 
-  /** What a former process of this VM reported goes on standing in the record. */
-  private mergeFormer (): void {
-    const { view, node } = this.parts
-    if (this.hasFormer) return
-    this.hasFormer = true
-    const former = view.crashReports.get(node)?.value
-    if (former === undefined) return
-    const { expiresAt } = former
-    this.crashes = [...former.crashes.map((report) => ({ report, expiresAt })), ...this.crashes].slice(-MAX_REPORTS)
-    this.answers = [...former.answers.map((report) => ({ report, expiresAt })), ...this.answers].slice(-MAX_REPORTS)
+  /** Keeps the reports of a previous process of this VM in the record. */
+  private mergePrevious (): void {
+    const { view, node } = this.options
+    if (this.hasMergedPrevious) return
+    this.hasMergedPrevious = true
+    const previous = view.crashReports.get(node)?.value
+    if (previous === undefined) return
+    const { expiresAt } = previous
+    this.crashes = [...previous.crashes.map((report) => ({ report, expiresAt })), ...this.crashes].slice(-MAX_REPORTS)
+    this.answers = [...previous.answers.map((report) => ({ report, expiresAt })), ...this.answers].slice(-MAX_REPORTS)
   }
 }
--- a/packages/entry/src/node/quarantine/recordSweeper.ts
+++ b/packages/entry/src/node/quarantine/recordSweeper.ts
@@ -1,4 +1,4 @@
-/** Removes expired crash reports and quarantines from the store. They stand under no lease, which could lapse in an outage. */
+/** Removes expired crash reports and quarantines from the store. They have no lease, because a lease could expire in an outage. */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { runDetached } from '@umberspar/base/common/detached'
@@ -9,11 +9,11 @@
 import type { IRecordWriter } from '@umberspar/steering/common/ports/steeringSource'
 
 const SWEEP_INTERVAL_MS = 60_000
-/** The wall clocks of VMs differ; an expired record does no harm. */
+/** Allows for different wall clocks of VMs. An expired record does no harm until it is removed. */
 const CLOCK_TOLERANCE_MS = 30_000
 
-/** What it is built from. */
-export interface SweeperParts {
+/** Options of a {@link RecordSweeper}. */
+export interface RecordSweeperOptions {
   readonly clock: IClock
   readonly logger: ILogger
   readonly view: EntryView
@@ -22,17 +22,16 @@
   readonly node: string
 }
 
-/** The sweeper of one VM; of all VMs, the one that ranks first removes records. */
+/** The sweeper of one VM. Only the VM that ranks first by rendezvous hashing removes records. */
 export class RecordSweeper implements IClosable {
   private timer: ITimer | undefined
   private isClosed = false
 
-  /** @param parts what it is built from */
-  constructor (private readonly parts: SweeperParts) {}
+  constructor (private readonly options: RecordSweeperOptions) {}
 
-  /** Looks for expired records after a while, for as long as there are any records. */
+  /** Schedules a sweep, which repeats as long as there are any records. */
   schedule (): void {
-    const { clock, logger } = this.parts
+    const { clock, logger } = this.options
     if (this.isClosed) return
     this.timer ??= clock.schedule(clock.now() + SWEEP_INTERVAL_MS, () => {
       this.timer = undefined
@@ -46,7 +45,7 @@
   }
 
   private async removeExpired (): Promise<void> {
-    const { view, writer, logger, node, clock } = this.parts
+    const { view, writer, logger, node, clock } = this.options
     const records = [...view.crashReports.values(), ...view.quarantines.values()]
     const nodes = [...new Set([node, ...view.nodes.keys()])]
     const isFirst = rankByRendezvous('sweep', nodes)[0] === node
--- a/packages/entry/src/node/quarantine/requestQuarantine.ts
+++ b/packages/entry/src/node/quarantine/requestQuarantine.ts
@@ -1,7 +1,6 @@
 /**
- * Keeps requests that crash every worker that runs them from further workers: notes
- * workers that crash, shares what it notes with all entry VMs through the store, and
- * blocks what is quarantined.
+ * Protects workers from requests that crash every worker that runs them: records crashes,
+ * shares the reports with all entry VMs through the store, and blocks quarantined requests.
  */
 import type { IClock, Instant, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -18,19 +17,18 @@
 import { CrashReporter } from './crashReporter.js'
 import { RecordSweeper } from './recordSweeper.js'
 
-/** How long a crash speaks against the requests that the worker held. */
-const REPORT_SPAN_MS = 120_000
-/** An answer refutes fewer crashes than these without being reported: they are far from a quarantine. */
+/** How long a crash counts as evidence against the requests that were running on the worker. */
+const REPORT_LIFETIME_MS = 120_000
+/** An answer to a request with fewer crashed workers is not reported, as the request is far from a quarantine. */
 const MIN_REPORTED_WORKERS = 2
-/** How often expired reports are dropped. */
 const CLEAN_UP_INTERVAL_MS = 10_000
-/** Blocked by reports that are still being checked: by then it is known. */
-const PENDING_RETRY_MS = 1_000
-/** A worker that takes no connection within this time counts as crashed. */
+/** The retry delay of a request that is blocked by pending crash reports. By then the workers have been checked. */
+const PENDING_RETRY_DELAY_MS = 1_000
+/** A worker that accepts no connection within this time counts as crashed. */
 const CHECK_TIMEOUT_MS = 500
 
-/** What it is built from. */
-export interface QuarantineParts {
+/** Options of a {@link RequestQuarantine}. */
+export interface RequestQuarantineOptions {
   readonly clock: IClock
   readonly logger: ILogger
   readonly view: EntryView
@@ -42,16 +40,16 @@
   readonly pools: UpstreamPools
 }
 
-/** A request that was sent to a worker that broke off. */
-export interface BrokenOffer {
+/** An attempt that ended because the connection to the worker broke. */
+export interface BrokenAttempt {
   readonly digest: string
   readonly service: string
   readonly worker: UpstreamEntry
-  /** From `getNextRound`, when the request was sent. */
+  /** The result of {@link RequestQuarantine.getNextRound} when the request was sent. */
   readonly round: number
 }
 
-/** The quarantine as one entry VM keeps it. */
+/** The quarantine at one entry VM. */
 export class RequestQuarantine implements IClosable {
   private readonly table = new SuspectTable()
   private readonly reporter: CrashReporter
@@ -60,66 +58,65 @@
   private timer: ITimer | undefined
   private isClosed = false
 
-  /** @param parts what it is built from */
-  constructor (private readonly parts: QuarantineParts) {
-    this.reporter = new CrashReporter({ ...parts, reportSpanMs: REPORT_SPAN_MS })
-    this.sweeper = new RecordSweeper(parts)
+  constructor (private readonly options: RequestQuarantineOptions) {
+    this.reporter = new CrashReporter({ ...options, reportLifetimeMs: REPORT_LIFETIME_MS })
+    this.sweeper = new RecordSweeper(options)
   }
 
   /**
-   * @param digest recognizes the request
-   * @returns how long it must not be sent, in milliseconds; 0 if it may be
+   * @param digest identifies the request
+   * @returns how long the request is blocked, in milliseconds; 0 if it may be sent
    */
   getBlockedMs (digest: RequestDigest): number {
     if (this.table.isEmpty) return 0
-    const now = this.parts.clock.now()
+    const now = this.options.clock.now()
     const until = this.table.getBlockedUntil(digest.read(), now)
-    return until === undefined ? 0 : Math.max(PENDING_RETRY_MS, until - now)
+    return until === undefined ? 0 : Math.max(PENDING_RETRY_DELAY_MS, until - now)
   }
 
-  /** @returns the round of a crash under a request that is sent now */
+  /** @returns the round in which a crash counts if it is caused by a request that is sent now */
   getNextRound (digest: RequestDigest): number {
-    return this.table.isEmpty ? 1 : this.table.getNextRound(digest.read(), this.parts.clock.now())
+    return this.table.isEmpty ? 1 : this.table.getNextRound(digest.read(), this.options.clock.now())
   }
 
-  /** Notes that a worker broke off; whether it crashed is found out by connecting to it once more. */
-  handleBreak (offer: BrokenOffer): void {
-    const { clock } = this.parts
-    const { digest, worker, round } = offer
-    const report: CrashReport = { digest, workerId: getWorkerLife(worker), round }
+  /** Handles a broken connection to a worker. A new connection determines whether the worker has crashed. */
+  handleBreak (attempt: BrokenAttempt): void {
+    const { clock } = this.options
+    const { digest, worker, round } = attempt
+    const report: CrashReport = { digest, workerId: getWorkerInstanceId(worker), round }
     this.putCrash(report, ReportState.Pending, clock.now())
-    // Connections that end with this process say nothing of workers.
+    // Connections that break because this process ends say nothing about workers.
     if (this.isClosed) return
     this.checkWorker(worker, (isListening) => {
       if (this.isClosed) return
       if (isListening) this.table.removeCrash(digest, report.workerId)
-      else this.confirmCrash(report, offer.service)
+      else this.confirmCrash(report, attempt.service)
     })
   }
 
-  /** Notes that a worker answered a request. */
+  /** Handles a response of a worker, which refutes the crash reports about the request. */
   handleAnswer (digest: RequestDigest): void {
     if (this.table.isEmpty) return
-    const { clock } = this.parts
+    const { clock } = this.options
     const text = digest.read()
     const now = clock.now()
     const workerIds = this.table.listWorkers(text, now)
     if (workerIds.length === 0) return
-    this.table.putAnswer(text, workerIds, now, createDeadline(now, REPORT_SPAN_MS))
+    this.table.putAnswer(text, workerIds, now, createDeadline(now, REPORT_LIFETIME_MS))
     this.table.removeQuarantine(text)
     if (workerIds.length >= MIN_REPORTED_WORKERS) this.reporter.addAnswer({ digest: text, workerIds })
   }
 
-  /** Takes over a change of the records. */
+  /** Handles a change of the records. */
   handleChange ({ change, subject }: ViewEvent): void {
     if (change === ViewChange.CrashesReported) this.applyReports(subject)
     if (change === ViewChange.RequestQuarantined) this.applyQuarantine(subject)
     if (change === ViewChange.RequestReleased) this.table.removeQuarantine(subject)
   }
 
-  /** @returns figures for the gauges */
+  /** @returns the numbers of quarantined and suspected requests, for metrics */
   readCounts (): { readonly quarantined: number, readonly suspects: number } {
-    return { quarantined: this.table.countQuarantined(this.parts.clock.now()), suspects: this.table.countSuspects() }
+    return { quarantined: this.table.countQuarantined(this.options.clock.now()), suspects: this.table.countSuspects() }
   }
 
   close (): void {
@@ -130,7 +127,7 @@
   }
 
   private checkWorker (worker: UpstreamEntry, onResult: (isListening: boolean) => void): void {
-    const key = getWorkerLife(worker)
+    const key = getWorkerInstanceId(worker)
     const waiting = this.checks.get(key)
     if (waiting !== undefined) {
       waiting.push(onResult)
@@ -142,30 +139,30 @@
       this.checks.delete(key)
       for (const listener of listeners) listener(isListening)
     }
-    const { view, pools, clock } = this.parts
-    // A worker that is gone has no pool any more, and needs none.
+    const { view, pools, clock } = this.options
+    // A removed worker has no pool any more and needs no check.
     if (view.readRoster(worker.service).has(worker.id)) pools.read(worker).probe(createDeadline(clock.now(), CHECK_TIMEOUT_MS), settle)
     else settle(false)
   }
 
   private confirmCrash (report: CrashReport, service: string): void {
-    const now = this.parts.clock.now()
+    const now = this.options.clock.now()
     this.putCrash(report, ReportState.Confirmed, now)
     this.reporter.addCrash(report)
     this.checkEvidence(report.digest, now, service)
   }
 
   private putCrash (report: CrashReport, state: ReportState, now: Instant): void {
-    this.table.putCrash(report, state, now, createDeadline(now, REPORT_SPAN_MS))
+    this.table.putCrash(report, state, now, createDeadline(now, REPORT_LIFETIME_MS))
     this.scheduleCleanUp()
   }
 
   private applyReports (node: string): void {
-    const { view, clock } = this.parts
+    const { view, clock } = this.options
     const reports = view.crashReports.get(node)
     if (reports === undefined) return
     const now = clock.now()
-    const expiresAt = toDeadline(reports.value.expiresAt, clock.getWallTime(), now, REPORT_SPAN_MS)
+    const expiresAt = toDeadline(reports.value.expiresAt, clock.getWallTime(), now, REPORT_LIFETIME_MS)
     for (const { digest, workerIds } of reports.value.answers) {
       this.table.putAnswer(digest, workerIds, now, expiresAt)
       this.releaseIfRefuted(digest)
@@ -176,9 +173,9 @@
     this.sweeper.schedule()
   }
 
-  /** @param service undefined if only others saw the crashes: then one of them writes the record */
+  /** @param service undefined if only other VMs reported the crashes, so that one of them writes the record */
   private checkEvidence (digest: string, now: Instant, service?: string): void {
-    const { clock, quarantineSpanMs } = this.parts
+    const { clock, quarantineSpanMs } = this.options
     if (!this.table.isEvident(digest, now)) return
     const isNew = this.table.getBlockedUntil(digest, now) === now
     if (!isNew) return
@@ -190,7 +187,7 @@
   }
 
   private applyQuarantine (digest: string): void {
-    const { view, clock, quarantineSpanMs } = this.parts
+    const { view, clock, quarantineSpanMs } = this.options
     const quarantine = view.quarantines.get(digest)
     if (quarantine === undefined) return
     const now = clock.now()
@@ -204,16 +201,16 @@
   }
 
   private releaseIfRefuted (digest: string): void {
-    const quarantine = this.parts.view.quarantines.get(digest)
+    const quarantine = this.options.view.quarantines.get(digest)
     if (quarantine !== undefined && this.table.isRefuted(digest, quarantine.value.workerIds)) this.table.removeQuarantine(digest)
   }
 
   private logQuarantine (digest: string, source: string, workerIds: readonly string[]): void {
-    this.parts.logger.log(LogLevel.Warn, { step: 'quarantine-request', digest, source, workers: workerIds.join(' ') }, 'workers crash under a request; it is not sent any more')
+    this.options.logger.log(LogLevel.Warn, { step: 'quarantine-request', digest, source, workers: workerIds.join(' ') }, 'quarantined a request that crashes workers')
   }
 
   private scheduleCleanUp (): void {
-    const { clock } = this.parts
+    const { clock } = this.options
     if (this.isClosed) return
     this.timer ??= clock.schedule(clock.now() + CLEAN_UP_INTERVAL_MS, () => {
       this.timer = undefined
@@ -223,7 +220,7 @@
   }
 }
 
-/** @returns what names one start of a worker, also where workers start again under their id */
-function getWorkerLife ({ id, startedAt }: UpstreamEntry): string {
+/** @returns an identifier of one start of a worker, also if workers keep their id when they restart */
+function getWorkerInstanceId ({ id, startedAt }: UpstreamEntry): string {
   return startedAt === undefined ? id : `${id}@${startedAt}`
 }
--- a/packages/entry/src/node/upstream/answerParser.ts
+++ b/packages/entry/src/node/upstream/answerParser.ts
@@ -1,31 +1,31 @@
 /**
- * Reads the answers on one connection to a worker, by http-parser-js. Node's own
- * client and undici end a connection at an answer that they did not ask for; this
- * parser hands every answer on, so that a late answer to an earlier request can be
- * passed over and the caller still gets its own.
+ * Parses the responses on one connection to a worker, with http-parser-js. Node's own
+ * client and undici close a connection on an unexpected response. This parser reports
+ * every response, so that a late response to an earlier request can be skipped and the
+ * caller still gets the response to its own request.
  */
 import { HTTPParser } from 'http-parser-js'
 
-/** The head of an answer. */
+/** The head of a response. */
 export interface AnswerHead {
   readonly status: number
-  /** Names and values in turn, as received. */
+  /** Alternating names and values, as received. */
   readonly rawHeaders: readonly string[]
-  /** Whether the answer ends with its connection, having neither length nor chunks. */
-  readonly isUnframed: boolean
+  /** Whether the end of the connection delimits the body, as the response has neither a length nor chunks. */
+  readonly isCloseDelimited: boolean
   /** Whether the worker keeps the connection open afterwards. */
   readonly keepsAlive: boolean
 }
 
-/** What a parser tells its connection. */
-export interface AnswerListener {
-  /** @returns whether the answer has no body whatever its head says, as one to HEAD */
+/** Receives the parsed responses. */
+export interface ResponseListener {
+  /** @returns whether the response has no body regardless of its head, like a response to HEAD */
   onHead(head: AnswerHead): boolean
   onBody(chunk: Buffer): void
   onEnd(): void
 }
 
-/** The parser's inner state, which the library's types hide. */
+/** The parser's internal state, which the library's types do not declare. */
 interface ParserInternals {
   state: string
   line: string
@@ -36,15 +36,15 @@
 }
 
 /** A size in hexadecimal digits, with or without extensions. */
-const CHUNK_HEAD = /^[0-9a-f]{1,8}[ \t]*(;.*)?$/i
-const LENGTH = /^\d{1,15}$/
+const CHUNK_SIZE_LINE = /^[0-9a-f]{1,8}[ \t]*(;.*)?$/i
+const CONTENT_LENGTH = /^\d{1,15}$/
 const SKIP_BODY = 1
 const READ_BODY = 0
 const FIRST_FINAL_STATUS = 200
 
 /**
- * Makes a parser refuse what the library reads leniently. It takes a chunk size
- * that is no number for the last chunk: a spoilt answer would look whole to its caller.
+ * Creates a parser that rejects invalid chunk sizes. The library takes a chunk size that
+ * is not a number for the last chunk, so that a corrupt response would look complete to its caller.
  */
 function createStrictParser (): InstanceType<typeof HTTPParser> {
   const parser = new HTTPParser(HTTPParser.RESPONSE)
@@ -52,39 +52,39 @@
   internals.BODY_CHUNKHEAD = () => {
     const line = internals.consumeLine()
     if (line === undefined) return
-    if (!CHUNK_HEAD.test(line)) throw new Error('a chunk begins with something else than its size')
+    if (!CHUNK_SIZE_LINE.test(line)) throw new Error('invalid chunk size')
     internals.body_bytes = Number.parseInt(line, 16)
     internals.state = internals.body_bytes === 0 ? 'BODY_CHUNKTRAILERS' : 'BODY_CHUNK'
   }
   return parser
 }
 
-/** Whether the fields that frame the body contradict each other or say nothing that can be read. */
+/** Throws if the header fields that delimit the body are invalid or contradict each other. */
 function checkFraming (rawHeaders: readonly string[]): void {
   let lengths = 0
-  let codings = 0
+  let transferCodings = 0
   for (let index = 0; index < rawHeaders.length; index += 2) {
     const name = rawHeaders[index]!.toLowerCase()
     const value = rawHeaders[index + 1]!
     if (name === 'content-length') {
       lengths++
-      if (!LENGTH.test(value)) throw new Error('the length is no number')
+      if (!CONTENT_LENGTH.test(value)) throw new Error('Content-Length is not a number')
     }
     if (name === 'transfer-encoding') {
-      codings++
-      if (value.toLowerCase() !== 'chunked') throw new Error('the transfer coding is unknown')
+      transferCodings++
+      if (value.toLowerCase() !== 'chunked') throw new Error('unknown transfer coding')
     }
   }
-  if (lengths + codings > 1) throw new Error('the framing is ambiguous')
+  if (lengths + transferCodings > 1) throw new Error('ambiguous body length')
 }
 
-/** Reads one connection's answers, one after the other. */
+/** Parses the consecutive responses of one connection. */
 export class AnswerParser {
   private readonly parser = createStrictParser()
   private isInterim = false
 
-  /** @param listener who is told; a throw of its ends the reading with an error */
-  constructor (private readonly listener: AnswerListener) {
+  /** @param listener receives the responses; an error that it throws is returned by {@link AnswerParser.read} */
+  constructor (private readonly listener: ResponseListener) {
     this.parser[HTTPParser.kOnHeadersComplete] = (info) => this.handleHead(info)
     this.parser[HTTPParser.kOnBody] = (chunk) => { this.listener.onBody(chunk) }
     this.parser[HTTPParser.kOnMessageComplete] = () => {
@@ -93,29 +93,30 @@
     }
   }
 
-  /** @returns whether an answer has begun and not ended, were it by a byte */
-  get isBetweenAnswers (): boolean {
+  /** @returns whether no response is partially received, not even its first byte */
+  get isBetweenResponses (): boolean {
     const internals = this.parser as unknown as ParserInternals
     return internals.state === 'RESPONSE_LINE' && internals.line === ''
   }
 
   /**
+   * Parses received bytes.
    * @param chunk bytes as received
-   * @returns what is wrong with them, if anything
+   * @returns an error if they are invalid
    */
   read (chunk: Buffer): Error | undefined {
     try {
       const result = this.parser.execute(chunk)
       return result instanceof Error ? result : undefined
     } catch (thrown) {
-      // The library passes on what a listener threw: an answer that it refused.
+      // The library rethrows errors of the listener, which rejected the response.
       return thrown instanceof Error ? thrown : new Error(String(thrown))
     }
   }
 
   /**
-   * Notes that the worker ended the connection in order.
-   * @returns an error if an answer is cut short by it
+   * Handles an orderly end of the connection by the worker.
+   * @returns an error if it truncates a response
    */
   finish (): Error | undefined {
     return this.parser.finish() ?? undefined
@@ -128,8 +129,8 @@
     }
     checkFraming(info.headers)
     const internals = this.parser as unknown as ParserInternals
-    const isUnframed = internals.body_bytes === null && !internals.isChunked
-    const head = { status: info.statusCode, rawHeaders: info.headers, isUnframed, keepsAlive: info.shouldKeepAlive }
+    const isCloseDelimited = internals.body_bytes === null && !internals.isChunked
+    const head = { status: info.statusCode, rawHeaders: info.headers, isCloseDelimited, keepsAlive: info.shouldKeepAlive }
     return this.listener.onHead(head) ? SKIP_BODY : READ_BODY
   }
 }
--- a/packages/entry/src/node/upstream/rawHeaders.ts
+++ b/packages/entry/src/node/upstream/rawHeaders.ts
@@ -2,9 +2,9 @@
 import { HOP_BY_HOP_HEADERS } from '@umberspar/steering/common/request/headers'
 
 /**
- * @param rawHeaders names and values in turn
+ * @param rawHeaders alternating names and values
  * @param name a field's name, in lower case
- * @returns the first value of that name
+ * @returns the first value of the field; undefined if there is none
  */
 export function getHeader (rawHeaders: readonly string[], name: string): string | undefined {
   for (let index = 0; index < rawHeaders.length; index += 2) {
@@ -14,10 +14,10 @@
   return undefined
 }
 
-/** Fields that concern one connection only; no trailers are passed on, so nothing announces any. */
+/** Fields that apply to one connection only. Trailers are not forwarded, so they are not announced either. */
 const CONNECTION_FIELDS: ReadonlySet<string> = new Set([...HOP_BY_HOP_HEADERS, 'trailer'])
 
-/** Fields that `Connection` cannot remove: without them a message would end elsewhere or reach another host. */
+/** Fields that `Connection` cannot remove: without them a message would have a different end, or reach a different host. */
 const KEPT_FIELDS: ReadonlySet<string> = new Set(['content-length', 'host', 'cookie'])
 
 function listConnectionOptions (rawHeaders: readonly string[]): readonly string[] {
@@ -27,10 +27,10 @@
 }
 
 /**
- * @param rawHeaders names and values in turn
- * @param removed further fields to leave out, in lower case
- * @param kept fields that `Connection` cannot name away, in lower case
- * @returns the fields that go to the next hop, without the body's length
+ * @param rawHeaders alternating names and values
+ * @param removed further fields to remove, in lower case
+ * @param kept fields that are kept even if `Connection` lists them, in lower case
+ * @returns the fields to forward to the next hop, without `Content-Length`
  */
 export function removeConnectionFields (rawHeaders: readonly string[], removed: ReadonlySet<string>, kept: ReadonlySet<string>): string[] {
   const options = listConnectionOptions(rawHeaders).filter((option) => !kept.has(option))
--- a/packages/entry/src/node/upstream/upstreamConnection.ts
+++ b/packages/entry/src/node/upstream/upstreamConnection.ts
@@ -1,24 +1,24 @@
 /**
- * One connection to a worker: one request at a time, each answer matched to its
- * request by the id that the worker echoes. Bytes that no request waits for end
- * the connection, so that they can never reach a caller.
+ * A connection to a worker, with one request at a time. Each response is matched to its
+ * request by the id that the worker echoes. Bytes that arrive without a pending request
+ * close the connection, so that they can never reach a caller.
  */
 import type { Socket } from 'node:net'
 import type { Instant } from '@umberspar/base/common/clock'
 import { AnswerParser, type AnswerHead } from './answerParser.js'
 import { getHeader } from './rawHeaders.js'
 
-/** How an exchange failed. */
+/** Why an exchange failed. */
 export enum ExchangeFailure {
-  /** The worker ended or reset the connection before its answer was whole. */
+  /** The worker closed or reset the connection before the response was complete. */
   Broken = 'broken',
-  /** What came is no answer, or not an answer to this request. */
+  /** The received bytes are not a valid response, or not a response to this request. */
   Garbled = 'garbled',
-  /** This VM gave the request up. */
+  /** This VM cancelled the request. */
   Cancelled = 'cancelled'
 }
 
-/** Who waits for the answer. */
+/** Receives the response to a request. */
 export interface ExchangeListener {
   onHead(head: AnswerHead): void
   onBody(chunk: Buffer): void
@@ -26,52 +26,52 @@
   onFailure(failure: ExchangeFailure): void
 }
 
-/** What is sent. */
+/** A request to a worker. */
 export interface UpstreamRequest {
-  /** The head as it goes on the wire, with the empty line. */
+  /** The serialized head, including the empty line. */
   readonly head: string
   readonly body: readonly Buffer[]
-  /** The id that the answer has to echo; undefined if the caller gave none. */
+  /** The id that the response must echo; undefined if the caller sent none. */
   readonly requestId: string | undefined
   readonly isHead: boolean
 }
 
-/** How the answers of a worker carry the request's id. */
+/** How a worker's responses echo the request's id. */
 export interface EchoRule {
-  /** The field's name, in lower case. */
+  /** The name of the header field, in lower case. */
   readonly idHeader: string
 }
 
-/** Idle connections whose worker told no time-out are used for this long, in milliseconds. */
-const UNTOLD_IDLE_MS = 4_000
-/** Before the worker's own time-out a connection is given up this early, in milliseconds: a request must not cross the close. */
+/** The idle time up to which connections are reused if the worker announces no timeout. */
+const DEFAULT_MAX_IDLE_MS = 4_000
+/** Connections are closed this long before the worker's own timeout, so that no request is sent while the worker closes. */
 const IDLE_MARGIN_MS = 1_500
 const MS_PER_SECOND = 1_000
 const TIMEOUT_PARAMETER = /timeout\s*=\s*(\d+)/i
-/** Answers to other requests that are passed over before the connection is given up. */
-const MOST_PASSED_OVER = 3
+/** The number of responses to other requests that are skipped before the connection is closed. */
+const MAX_SKIPPED_RESPONSES = 3
 
 interface Exchange {
   readonly request: UpstreamRequest
   readonly listener: ExchangeListener
 }
 
-/** A connection that is open. */
+/** An open connection to a worker. */
 export class UpstreamConnection {
   private readonly parser: AnswerParser
   private exchange: Exchange | undefined
-  private isForeign = false
-  private passedOver = 0
+  private isSkipping = false
+  private skippedResponses = 0
   private isReusable = true
-  private idleMs = UNTOLD_IDLE_MS
-  /** Since when the connection has been idle; undefined before its first answer. */
+  private idleLimitMs = DEFAULT_MAX_IDLE_MS
+  /** Since when the connection has been idle; undefined if it has not been idle yet. */
   idleSince: Instant | undefined
 
   /**
-   * @param socket connected
-   * @param rule how answers are matched
-   * @param onIdle called when the connection may carry another request
-   * @param onClosed called once, when it is gone
+   * @param socket a connected socket
+   * @param rule how responses are matched to requests
+   * @param onIdle called when the connection is available for another request
+   * @param onClosed called once, when the connection has closed
    */
   constructor (
     private readonly socket: Socket,
@@ -81,7 +81,7 @@
   ) {
     this.parser = new AnswerParser({
       onHead: (head) => this.handleHead(head),
-      onBody: (chunk) => { if (!this.isForeign) this.exchange?.listener.onBody(chunk) },
+      onBody: (chunk) => { if (!this.isSkipping) this.exchange?.listener.onBody(chunk) },
       onEnd: () => { this.handleEnd() }
     })
     socket.on('data', (chunk) => { this.handleData(chunk) })
@@ -98,15 +98,15 @@
     return this.isReusable && this.exchange === undefined && !this.socket.destroyed && this.socket.writable
   }
 
-  /** @returns how long it may stay idle from the last answer on, in milliseconds */
-  get idleSpanMs (): number {
-    return this.idleMs
+  /** @returns how long the connection may be idle after a response and still be reused, in milliseconds */
+  get maxIdleMs (): number {
+    return this.idleLimitMs
   }
 
   /**
-   * Sends a request; from here on it may have run.
-   * @param request what to send
-   * @param listener who is told, once, how it ended
+   * Sends a request. From then on, the worker may have run it.
+   * @param request the request
+   * @param listener receives the response, and exactly one call of `onEnd` or `onFailure`
    */
   send (request: UpstreamRequest, listener: ExchangeListener): void {
     this.exchange = { request, listener }
@@ -116,29 +116,29 @@
     this.socket.uncork()
   }
 
-  /** Ends the connection, which tells the worker to stop work on the request. */
+  /** Cancels the request by closing the connection, which tells the worker to stop processing it. */
   cancel (): void {
     this.fail(ExchangeFailure.Cancelled)
   }
 
-  /** Stops reading for as long as the caller takes no more. */
+  /** Stops reading while the caller accepts no more data. */
   pause (): void {
     this.socket.pause()
   }
 
-  /** Reads on. */
+  /** Continues reading after {@link UpstreamConnection.pause}. */
   resume (): void {
     this.socket.resume()
   }
 
-  /** Gives the connection up; whoever waits is told that it broke. */
+  /** Closes the connection. A pending request fails as broken. */
   close (): void {
     this.fail(ExchangeFailure.Broken)
   }
 
   private handleData (chunk: Buffer): void {
     if (this.exchange === undefined) {
-      // Nobody asked for these bytes; the next caller on this connection would get them.
+      // Without a pending request, these bytes would go to the next caller on this connection.
       this.socket.destroy()
       return
     }
@@ -148,17 +148,17 @@
       return
     }
     if (this.exchange !== undefined || this.socket.destroyed) return
-    if (!this.parser.isBetweenAnswers || !this.isReusable) this.socket.destroy()
+    if (!this.parser.isBetweenResponses || !this.isReusable) this.socket.destroy()
     else this.onIdle(this)
   }
 
   private handleHead (head: AnswerHead): boolean {
     const exchange = this.exchange
-    if (exchange === undefined) throw new Error('an answer that no request waits for')
+    if (exchange === undefined) throw new Error('response without a pending request')
     const id = getHeader(head.rawHeaders, this.rule.idHeader)
-    this.isForeign = id !== undefined && id !== exchange.request.requestId
-    if (this.isForeign && ++this.passedOver > MOST_PASSED_OVER) throw new Error('too many answers to other requests')
-    if (!this.isForeign) {
+    this.isSkipping = id !== undefined && id !== exchange.request.requestId
+    if (this.isSkipping && ++this.skippedResponses > MAX_SKIPPED_RESPONSES) throw new Error('too many responses to other requests')
+    if (!this.isSkipping) {
       this.updateReuse(head)
       exchange.listener.onHead(head)
     }
@@ -166,26 +166,26 @@
   }
 
   private updateReuse (head: AnswerHead): void {
-    if (!head.keepsAlive || head.isUnframed) this.isReusable = false
-    const told = TIMEOUT_PARAMETER.exec(getHeader(head.rawHeaders, 'keep-alive') ?? '')
-    if (told !== null) this.idleMs = Math.max(0, Number(told[1]) * MS_PER_SECOND - IDLE_MARGIN_MS)
+    if (!head.keepsAlive || head.isCloseDelimited) this.isReusable = false
+    const timeout = TIMEOUT_PARAMETER.exec(getHeader(head.rawHeaders, 'keep-alive') ?? '')
+    if (timeout !== null) this.idleLimitMs = Math.max(0, Number(timeout[1]) * MS_PER_SECOND - IDLE_MARGIN_MS)
   }
 
   private handleEnd (): void {
-    if (this.isForeign) {
-      this.isForeign = false
+    if (this.isSkipping) {
+      this.isSkipping = false
       return
     }
     const exchange = this.exchange
     this.exchange = undefined
-    // A worker that was passed over once may send yet another answer late.
-    if (this.passedOver > 0) this.isReusable = false
+    // After one late response, the worker may send another one.
+    if (this.skippedResponses > 0) this.isReusable = false
     exchange?.listener.onEnd()
   }
 
   private handleSocketEnd (): void {
     this.isReusable = false
-    if (this.exchange === undefined || this.parser.isBetweenAnswers) {
+    if (this.exchange === undefined || this.parser.isBetweenResponses) {
       this.fail(ExchangeFailure.Broken)
       return
     }
@@ -196,14 +196,14 @@
   }
 
   /**
-   * Tells an ordered end from a reset. libuv reports a reset as an ordered end if it
-   * comes together with the last bytes; an answer that ends with its connection and
-   * was cut short would then look whole to its caller. A write, even of nothing,
-   * fails on a connection that was reset and on no other.
+   * Distinguishes an orderly end from a reset. libuv reports a reset as an orderly end if
+   * it arrives together with the last bytes, so that a truncated response that is delimited
+   * by the end of its connection would look complete to its caller. A write, even of an
+   * empty string, fails only on a connection that was reset.
    */
-  private checkReset (onOrdered: () => void): void {
+  private checkReset (onOrderlyEnd: () => void): void {
     this.socket.write('', (error) => {
-      if (error === null || error === undefined) onOrdered()
+      if (error === null || error === undefined) onOrderlyEnd()
       else this.fail(ExchangeFailure.Broken)
     })
   }
--- a/packages/entry/src/node/upstream/upstreamPool.ts
+++ b/packages/entry/src/node/upstream/upstreamPool.ts
@@ -1,4 +1,4 @@
-/** The connections to one worker: kept while idle, bounded in number, opened with a time limit. */
+/** A pool of connections to one worker, with idle connections, a limit, and a timeout for opening. */
 import { createConnection } from 'node:net'
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -6,17 +6,17 @@
 import type { IdleLimit } from './idleLimit.js'
 import { type EchoRule, UpstreamConnection } from './upstreamConnection.js'
 
-/** Why there is no connection; in each case nothing was sent. */
+/** Why no connection could be opened. In each case, nothing was sent. */
 export enum OpenFailure {
   /** The worker's address refuses connections. */
   Refused = 'refused',
-  /** No answer in time. */
+  /** The connection was not established in time. */
   TimedOut = 'timed-out',
-  /** This VM's part of the worker's connections is in use. */
+  /** All connections that this VM may have to the worker are in use. */
   Full = 'full'
 }
 
-/** Told once: a connection, or why there is none, and how long opening took; 0 for one that was idle. */
+/** Called once with a connection or the reason why there is none, and how long opening took in milliseconds; 0 for an idle connection. */
 export type OpenListener = (result: UpstreamConnection | OpenFailure, openMs: number) => void
 
 /** The connections to one worker. */
@@ -29,9 +29,9 @@
   /**
    * @param host the worker's IP address
    * @param port the worker's port
-   * @param rule how answers are matched to requests
-   * @param idleLimit how long idle connections are used, beside what the worker says
-   * @param clock for time limits
+   * @param rule how responses are matched to requests
+   * @param idleLimit limits the reuse of idle connections, in addition to the timeout that the worker announces
+   * @param clock for timeouts
    */
   constructor (
     private readonly host: string,
@@ -41,23 +41,24 @@
     private readonly clock: IClock
   ) {}
 
-  /** @returns whether its connections lead to this address */
+  /** @returns whether the pool is for the given address */
   isFor (host: string, port: number): boolean {
     return this.host === host && this.port === port
   }
 
   /**
-   * @param most connections that this VM may have to the worker
-   * @param deadline until when a new one may take to open
-   * @param onOpen told at once for an idle connection, else later
+   * Provides a connection for one request.
+   * @param maxConnections the maximum number of connections of this VM to the worker
+   * @param deadline the time limit for opening a new connection
+   * @param onOpen called synchronously for an idle connection, or when the limit is reached; otherwise later
    */
-  open (most: number, deadline: Deadline, onOpen: OpenListener): void {
-    const kept = this.takeIdle()
-    if (kept !== undefined) {
-      onOpen(kept, 0)
+  open (maxConnections: number, deadline: Deadline, onOpen: OpenListener): void {
+    const idle = this.takeIdle()
+    if (idle !== undefined) {
+      onOpen(idle, 0)
       return
     }
-    if (this.all.size + this.opening >= most) {
+    if (this.all.size + this.opening >= maxConnections) {
       onOpen(OpenFailure.Full, 0)
       return
     }
@@ -65,9 +66,9 @@
   }
 
   /**
-   * Opens a connection to learn whether the worker still listens; it is kept for the next request.
-   * @param deadline until when it may take
-   * @param onResult told once
+   * Opens a connection to determine whether the worker is still listening. The connection is kept for the next request.
+   * @param deadline the time limit for opening the connection
+   * @param onResult called once
    */
   probe (deadline: Deadline, onResult: (isListening: boolean) => void): void {
     this.openNew(deadline, (result) => {
@@ -77,7 +78,7 @@
     })
   }
 
-  /** Ends idle connections now and the others after their answer. */
+  /** Closes idle connections now, and the others after their response. */
   close (): void {
     this.isClosed = true
     for (const connection of this.idle) connection.close()
@@ -88,7 +89,7 @@
     const now = this.clock.now()
     for (let connection = this.idle.pop(); connection !== undefined; connection = this.idle.pop()) {
       const idleMs = now - (connection.idleSince ?? now)
-      if (connection.isUsable && idleMs < Math.min(connection.idleSpanMs, this.idleLimit.getMs(now))) return connection
+      if (connection.isUsable && idleMs < Math.min(connection.maxIdleMs, this.idleLimit.getMs(now))) return connection
       connection.close()
     }
     return undefined
@@ -124,7 +125,7 @@
 
   private removeConnection (connection: UpstreamConnection): void {
     this.all.delete(connection)
-    this.idle = this.idle.filter((kept) => kept !== connection)
+    this.idle = this.idle.filter((idle) => idle !== connection)
   }
 
   private keepIdle (connection: UpstreamConnection): void {
--- a/packages/entry/src/node/upstream/upstreamPools.ts
+++ b/packages/entry/src/node/upstream/upstreamPools.ts
@@ -1,4 +1,4 @@
-/** The connection pools of all workers, one for each start of a worker. */
+/** The connection pools of all workers. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import type { UpstreamEntry } from '@umberspar/steering/common/entry/records'
@@ -7,21 +7,21 @@
 import type { EchoRule } from './upstreamConnection.js'
 import { UpstreamPool } from './upstreamPool.js'
 
-/** Pools by worker id: a new worker at an old address gets new connections. */
+/** One pool for each worker id and address. A new worker at the address of a previous one gets new connections. */
 export class UpstreamPools implements IClosable {
-  /** Shared by all workers: those of a service forget connections alike. */
+  /** Shared by all workers, as the workers of a service drop idle connections after the same time. */
   readonly idleLimit = new IdleLimit()
   private readonly pools = new Map<string, UpstreamPool>()
 
   /**
-   * @param rule how answers are matched to requests
-   * @param clock for time limits
+   * @param rule how responses are matched to requests
+   * @param clock for timeouts
    */
   constructor (private readonly rule: EchoRule, private readonly clock: IClock) {}
 
   /**
    * @param entry a worker
-   * @returns its connections
+   * @returns the connection pool of the worker
    */
   read (entry: UpstreamEntry): UpstreamPool {
     let pool = this.pools.get(entry.id)
@@ -34,13 +34,13 @@
     return pool
   }
 
-  /** @param workerId a worker that takes no more requests; its open ones go on */
+  /** @param workerId a worker that receives no more requests; its open requests continue */
   remove (workerId: string): void {
     this.pools.get(workerId)?.close()
     this.pools.delete(workerId)
   }
 
-  /** Ends idle connections; the others end with their answers. */
+  /** Closes idle connections now, and the others after their responses. */
   close (): void {
     for (const workerId of [...this.pools.keys()]) this.remove(workerId)
   }
--- a/packages/entry/test/node/quarantine/crashReporter.test.ts
+++ b/packages/entry/test/node/quarantine/crashReporter.test.ts
@@ -10,7 +10,7 @@
 
 const QUARANTINE = { digest: 'a', service: 's', workerIds: ['w-1'], expiresAt: 1 }
 
-function createWorld () {
+function createReporter () {
   const clock = new ManualClock()
   const written: CrashReports[] = []
   const removed: string[] = []
@@ -26,14 +26,14 @@
     }
   }
   const view = { crashReports: new Map(), quarantines: new Map() } as unknown as EntryView
-  const reporter = new CrashReporter({ clock, logger: NULL_LOGGER, view, writer, node: 'vm-1', reportSpanMs: 60_000 })
+  const reporter = new CrashReporter({ clock, logger: NULL_LOGGER, view, writer, node: 'vm-1', reportLifetimeMs: 60_000 })
   return { clock, written, removed, view, reporter }
 }
 
 describe('the crash reporter', () => {
-  // Guards against reports that are never written because new ones come all the time.
-  it('writes reports while further ones come', async () => {
-    const { clock, written, reporter } = createWorld()
+  // Guards against reports that are never written because new ones keep arriving.
+  it('writes reports while further ones arrive', async () => {
+    const { clock, written, reporter } = createReporter()
     for (let index = 0; index < 10; index++) {
       reporter.addCrash({ digest: 'a', workerId: `w-${index}`, round: 1 })
       await clock.runFor(50)
@@ -41,9 +41,9 @@
     assert.ok(written.length >= 3)
   })
 
-  // Guards against a refuted quarantine that takes a later one with it.
-  it('removes a quarantine once for an answer, not again when the request is quarantined anew', async () => {
-    const { clock, removed, view, reporter } = createWorld()
+  // Guards against removing a later quarantine of the same request because an earlier one was refuted.
+  it('removes a quarantine once after an answer, not again when the request is quarantined once more', async () => {
+    const { clock, removed, view, reporter } = createReporter()
     view.quarantines.set('a', { key: 'first', revision: 1, value: QUARANTINE })
     reporter.addAnswer({ digest: 'a', workerIds: ['w-1'] })
     await clock.runFor(200)
--- a/packages/entry/test/node/upstream/resetServer.ts
+++ b/packages/entry/test/node/upstream/resetServer.ts
@@ -1,11 +1,11 @@
-/** A server on another thread that begins an answer without length, then resets or ends its connection. */
+/** A server on a worker thread that sends part of a response without a length, then resets or closes its connection. */
 import { createServer } from 'node:net'
 import { parentPort, workerData } from 'node:worker_threads'
 
-/** What the test hands to this thread. */
+/** The data that the test passes to this thread. */
 interface ResetServerData {
   readonly isReset: boolean
-  /** Set to 1 and notified when the connection has been ended. */
+  /** Set to 1 and notified when the connection has been reset or closed. */
   readonly ended: Int32Array
 }
 
