--- a/packages/entry/src/node/quota/accountQuota.ts
+++ b/packages/entry/src/node/quota/accountQuota.ts
@@ -100,26 +100,26 @@
   }
 
   /** Asks the share owners of one group, then those of the next one, until no request is waiting. */
-  private askGroup (group: number): void {
-    if (this.isRequesting && group === 0) return
+  private askGroup (groupIndex: number): void {
+    if (this.isRequesting && groupIndex === 0) return
     this.isRequesting = true
     const groups = this.environment.listGroups()
-    const shares = this.listAvailable(groups[group] ?? [])
-    if (group >= groups.length) this.endRound()
-    else if (shares.length === 0) this.askGroup(group + 1)
+    const shares = this.listAvailable(groups[groupIndex] ?? [])
+    if (groupIndex >= groups.length) this.endRound()
+    else if (shares.length === 0) this.askGroup(groupIndex + 1)
     else {
-      const wanted = this.computeWanted(group, shares.length)
+      const wanted = this.computeWanted(groupIndex, shares.length)
       Promise.all(shares.map(async ({ name }) => { await this.askShare(name, wanted) })).then(() => {
-        if (this.waiting.length > 0) this.askGroup(group + 1)
+        if (this.waiting.length > 0) this.askGroup(groupIndex + 1)
         else this.isRequesting = false
       }, () => { this.endRound() })
     }
   }
 
   /** The nearest group is also asked for tokens for expected requests, the others only for waiting ones. */
-  private computeWanted (group: number, shares: number): number {
-    const expected = group === 0 ? Math.floor(this.demandRate.estimate(this.environment.now(), this.environment.getTokenLifetimeMs())) : 0
-    return Math.ceil(this.waiting.length / shares) + expected
+  private computeWanted (groupIndex: number, shareCount: number): number {
+    const expected = groupIndex === 0 ? Math.floor(this.demandRate.estimate(this.environment.now(), this.environment.getTokenLifetimeMs())) : 0
+    return Math.ceil(this.waiting.length / shareCount) + expected
   }
 
   private listAvailable (shares: readonly QuotaShare[]): QuotaShare[] {
@@ -154,7 +154,7 @@
     this.waiting = []
     const now = this.environment.now()
     const isUnresponsive = this.environment.listGroups().flat().some(({ name }) => !hasPassed(this.unresponsiveUntil.get(name) ?? now, now))
-    const decision = isUnresponsive ? { end: QuotaEnd.Unknown, waitMs: UNKNOWN_RETRY_DELAY_MS } : { end: QuotaEnd.Spent, waitMs: this.getExhaustedMs() }
+    const decision: QuotaDecision = isUnresponsive ? { end: QuotaEnd.Unknown, waitMs: UNKNOWN_RETRY_DELAY_MS } : { end: QuotaEnd.Spent, waitMs: this.getExhaustedMs() }
     for (const listener of waiting) listener(decision)
   }
 }
--- a/packages/entry/test/node/quota/shareClaimer.test.ts
+++ b/packages/entry/test/node/quota/shareClaimer.test.ts
@@ -19,7 +19,7 @@
 const [SHARE] = listShares(REGIONS)
 
 interface Claim {
-  readonly keeper: ShareKeeper
+  readonly owner: ShareKeeper
   readonly expectedRevision: number
 }
 
@@ -34,8 +34,8 @@
     withdraw: () => {},
     close: () => {},
     tenure: { id: 7, until: 60_000 },
-    claimShare: async (keeper, expectedRevision) => {
-      claims.push({ keeper, expectedRevision })
+    claimShare: async (owner, expectedRevision) => {
+      claims.push({ owner, expectedRevision })
       return answer()
     }
   }
@@ -45,7 +45,7 @@
   buckets.setAccounts([{ name: 'a', keyDigests: [], priority: undefined, quota: { ratePerSecond: 10, burst: 10 }, homeRegions: [] }], 0)
   const self = NODES.find((node) => node.name === name)!
   const claimer = new ShareClaimer({ clock, elapsed, logger: LOGGER, view, self, life: 'present', regionOf: REGIONS, registration, buckets, startedAt: elapsed.now(), isLeaving: () => false })
-  return { clock, claims, view, claimer, listClaims: (share: string) => claims.filter(({ keeper }) => keeper.share === share) }
+  return { clock, claims, view, claimer, listClaims: (share: string) => claims.filter(({ owner }) => owner.share === share) }
 }
 
 function refuse (): Result<number, StepError> {
