--- a/packages/entry/src/node/quarantine/requestQuarantine.ts
+++ b/packages/entry/src/node/quarantine/requestQuarantine.ts
@@ -175,26 +175,26 @@
 
   /** @param service undefined if only other VMs reported the crashes, so that one of them writes the record */
   private checkEvidence (digest: string, now: Instant, service?: string): void {
-    const { clock, quarantineSpanMs } = this.options
+    const { clock, quarantineSpanMs: quarantineDurationMs } = this.options
     if (!this.table.isEvident(digest, now)) return
     const isNew = this.table.getBlockedUntil(digest, now) === now
     if (!isNew) return
-    this.table.putQuarantine(digest, createDeadline(now, quarantineSpanMs), now)
+    this.table.putQuarantine(digest, createDeadline(now, quarantineDurationMs), now)
     const workerIds = this.table.listWorkers(digest, now)
     this.logQuarantine(digest, 'crash-reports', workerIds)
     if (service === undefined) return
-    this.reporter.putQuarantine({ digest, service, workerIds, expiresAt: clock.getWallTime() + quarantineSpanMs })
+    this.reporter.putQuarantine({ digest, service, workerIds, expiresAt: clock.getWallTime() + quarantineDurationMs })
   }
 
   private applyQuarantine (digest: string): void {
-    const { view, clock, quarantineSpanMs } = this.options
+    const { view, clock, quarantineSpanMs: quarantineDurationMs } = this.options
     const quarantine = view.quarantines.get(digest)
     if (quarantine === undefined) return
     const now = clock.now()
     const isNew = this.table.getBlockedUntil(digest, now) === undefined
     // An answer may have been reported before the quarantine that it refutes.
     if (this.table.isRefuted(digest, quarantine.value.workerIds)) return
-    this.table.putQuarantine(digest, toDeadline(quarantine.value.expiresAt, clock.getWallTime(), now, quarantineSpanMs), now)
+    this.table.putQuarantine(digest, toDeadline(quarantine.value.expiresAt, clock.getWallTime(), now, quarantineDurationMs), now)
     if (isNew) this.logQuarantine(digest, 'record', quarantine.value.workerIds)
     this.scheduleCleanUp()
     this.sweeper.schedule()
--- a/packages/entry/src/node/quota/shareClaimer.ts
+++ b/packages/entry/src/node/quota/shareClaimer.ts
@@ -22,7 +22,10 @@
 const DEBOUNCE_MS = 50
 /** How often a free share is checked. */
 const RECHECK_INTERVAL_MS = 500
-/** A share counts as free for no longer than this: this VM may have missed a claim that was made and ended in the meantime, which takes at least a lease. */
+/**
+ * A share counts as free for no longer than this: the records may have missed a claim that was
+ * made and ended in the meantime, which takes the duration of a lease.
+ */
 const MAX_FREE_MS = 2_000
 
 /** Options of a {@link ShareClaimer}. */
