--- a/packages/steering/src/common/configuration/canonicalJson.ts
+++ b/packages/steering/src/common/configuration/canonicalJson.ts
@@ -1,4 +1,4 @@
-/** One spelling of a JSON document, so that equal documents have equal digests on all nodes. */
+/** Canonical JSON, so that equal documents have equal digests on all nodes. */
 import { computeHash64 } from '../hash/xxHash.js'
 
 /** Computes digests of canonical JSON. */
@@ -11,8 +11,8 @@
 }
 
 /**
- * Encodes with object keys in ascending order of their UTF-16 code units and
- * without white space; fields that are undefined are left out.
+ * Encodes a value as JSON without white space and with object keys sorted by
+ * UTF-16 code units; fields that are undefined are omitted.
  * @param body a JSON value
  * @returns canonical JSON
  */
@@ -40,7 +40,7 @@
 }
 
 /**
- * For callers that want the hash as a dependency of their own.
+ * Creates a digester for callers that take the hash function as a dependency.
  * @returns a digester that is ready for use
  */
 export async function createDigester (): Promise<Digester> {
--- a/packages/steering/src/common/configuration/configurationProblem.ts
+++ b/packages/steering/src/common/configuration/configurationProblem.ts
@@ -1,11 +1,11 @@
-/** What operators are told of a fault in a configuration. */
+/** Errors in a configuration as they are reported to operators. */
 
-/** One fault of a configuration. */
+/** One error in a configuration. */
 export interface ConfigurationProblem {
-  /** Names and indices joined by dots, like `services.escort-svc.places.x`; empty for the whole. */
+  /** Names and indices joined by dots, like `services.escort-svc.places.x`; empty for the whole configuration. */
   readonly path: string
-  /** What should stand there. */
+  /** A description of a valid value. */
   readonly expected: string
-  /** A whole sentence for operators, without the path. */
+  /** The complete error message for operators, without the path. */
   readonly message: string
 }
--- a/packages/steering/src/common/configuration/configurationRules.ts
+++ b/packages/steering/src/common/configuration/configurationRules.ts
@@ -1,4 +1,4 @@
-/** Rules between the fields of a configuration that passed the schema. */
+/** Rules across several fields of a configuration that conforms to the schema. */
 import ipaddr from 'ipaddr.js'
 import { WORDS_PER_IPV6 } from '../lookup/addressWords.js'
 import { formatPrefixKey, parseClientPrefix } from '../lookup/clientPrefix.js'
@@ -13,19 +13,19 @@
 
 type Rule = (configuration: SteeringConfiguration) => ConfigurationProblem[]
 
-function createProblem (path: string, expected: string, found: string): ConfigurationProblem {
-  return { path, expected, message: `expected ${expected}, but ${found}` }
+function createProblem (path: string, expected: string, actual: string): ConfigurationProblem {
+  return { path, expected, message: `expected ${expected}, but ${actual}` }
 }
 
-/** Values seen so far, with the path of each; tells of the first place where a value stands again. */
+/** Records values with their paths, to detect duplicates. */
 class SeenValues {
   private readonly pathByValue = new Map<string, string>()
 
-  /** Notes a value; returns where it stood before. */
+  /** Records a value; returns the path where it occurred first, or undefined if it is new. */
   record (value: string, path: string): string | undefined {
-    const before = this.pathByValue.get(value)
-    if (before === undefined) this.pathByValue.set(value, path)
-    return before
+    const previousPath = this.pathByValue.get(value)
+    if (previousPath === undefined) this.pathByValue.set(value, path)
+    return previousPath
   }
 }
 
@@ -44,59 +44,59 @@
   ]
   return paths
     .filter(({ name }) => isReservedName(name))
-    .map(({ name, path }) => createProblem(path, 'a name that JavaScript objects do not have by themselves', `'${name}' is reserved`))
+    .map(({ name, path }) => createProblem(path, 'a name that is not a built-in property of JavaScript objects', `'${name}' is reserved`))
 }
 
 const checkDomains: Rule = ({ regions }) => {
-  const seen = new SeenValues()
+  const seenValues = new SeenValues()
   const problems: ConfigurationProblem[] = []
   for (const [name, region] of Object.entries(regions)) {
     for (const [index, domain] of region.failureDomains.entries()) {
       const path = `regions.${name}.failureDomains.${index}`
-      const before = seen.record(domain, path)
-      if (before !== undefined) problems.push(createProblem(path, 'a failure domain of one region only', `'${domain}' stands at ${before} too`))
+      const previousPath = seenValues.record(domain, path)
+      if (previousPath !== undefined) problems.push(createProblem(path, 'a failure domain that belongs to only one region', `'${domain}' already occurs at ${previousPath}`))
     }
   }
   return problems
 }
 
 const checkLinks: Rule = ({ regions, links }) => {
-  const seen = new SeenValues()
+  const seenValues = new SeenValues()
   const problems: ConfigurationProblem[] = []
   for (const [index, link] of links.entries()) {
     const path = `links.${index}`
     for (const end of ['from', 'to'] as const) {
       if (!Object.hasOwn(regions, link[end])) problems.push(createProblem(`${path}.${end}`, 'the name of a region', `there is no region '${link[end]}'`))
     }
-    if (link.from === link.to) problems.push(createProblem(`${path}.to`, 'another region than from', `both are '${link.from}'`))
-    const before = seen.record(`${link.from}/${link.to}`, path)
-    if (before !== undefined) problems.push(createProblem(path, 'one link for each direction', `${before} has the same ends`))
+    if (link.from === link.to) problems.push(createProblem(`${path}.to`, 'a region other than \'from\'', `both are '${link.from}'`))
+    const previousPath = seenValues.record(`${link.from}/${link.to}`, path)
+    if (previousPath !== undefined) problems.push(createProblem(path, 'only one link for each direction', `${previousPath} connects the same regions`))
   }
   return problems
 }
 
 const checkClientBlocks: Rule = ({ regions }) => {
   const blocks = Object.entries(regions).flatMap(([name, { clientBlocks }]) => clientBlocks.map((block, index) => ({ name, block, index })))
-  const formatPath = (at: number): string => `regions.${blocks[at]?.name}.clientBlocks.${blocks[at]?.index}`
-  // There may be very many blocks: paths are formatted for faulty ones only.
+  const formatPath = (position: number): string => `regions.${blocks[position]?.name}.clientBlocks.${blocks[position]?.index}`
+  // There may be a large number of blocks, so paths are formatted only for invalid ones.
   const positionByKey = new Map<string, number>()
   const problems: ConfigurationProblem[] = []
   const words = new Uint32Array(WORDS_PER_IPV6)
   for (const [position, { block }] of blocks.entries()) {
     const prefix = parseClientPrefix(block, words)
     if (prefix === undefined) {
-      problems.push(createProblem(formatPath(position), 'a CIDR prefix, like 10.0.0.0/8 or 2001:db8::/32', `'${block}' is none`))
+      problems.push(createProblem(formatPath(position), 'a CIDR prefix, like 10.0.0.0/8 or 2001:db8::/32', `'${block}' is not valid`))
       continue
     }
     const key = formatPrefixKey(prefix, words)
-    const before = positionByKey.get(key)
-    if (before === undefined) positionByKey.set(key, position)
-    else problems.push(createProblem(formatPath(position), 'each client block once', `'${block}' stands at ${formatPath(before)} too`))
+    const previousPosition = positionByKey.get(key)
+    if (previousPosition === undefined) positionByKey.set(key, position)
+    else problems.push(createProblem(formatPath(position), 'each client block only once', `'${block}' already occurs at ${formatPath(previousPosition)}`))
   }
   return problems
 }
 
-/** The schema checks the shape of an address; here its numbers. */
+/** The schema checks only the format of an address; this checks the ranges of its numbers. */
 function isAddress (address: string): boolean {
   const colon = address.lastIndexOf(':')
   const host = address.slice(0, colon).replace(/^\[|\]$/g, '')
@@ -106,15 +106,15 @@
 }
 
 const checkWorkers: Rule = ({ services }) => {
-  const seen = new SeenValues()
+  const seenValues = new SeenValues()
   const problems: ConfigurationProblem[] = []
   for (const [service, { places }] of Object.entries(services)) {
     for (const [domain, place] of Object.entries(places)) {
       for (const [workerId, { address }] of Object.entries(place.workers)) {
         const path = `services.${service}.places.${domain}.workers.${workerId}.address`
-        if (!isAddress(address)) problems.push(createProblem(path, 'an IP number and a port from 1 to 65535', `'${address}' is none`))
-        const before = seen.record(address, path)
-        if (before !== undefined) problems.push(createProblem(path, 'an address of one worker only', `'${address}' stands at ${before} too`))
+        if (!isAddress(address)) problems.push(createProblem(path, 'an IP address and a port from 1 to 65535', `'${address}' is not valid`))
+        const previousPath = seenValues.record(address, path)
+        if (previousPath !== undefined) problems.push(createProblem(path, 'an address that only one worker uses', `'${address}' already occurs at ${previousPath}`))
       }
     }
   }
@@ -122,11 +122,11 @@
 }
 
 function checkRoutes (service: ServiceConfiguration, path: string): ConfigurationProblem[] {
-  const seen = new SeenValues()
+  const seenValues = new SeenValues()
   return service.routes.flatMap((route, index) => {
-    const before = seen.record(route.prefix, `${path}.routes.${index}`)
-    if (before === undefined) return []
-    return [createProblem(`${path}.routes.${index}.prefix`, 'each prefix once', `'${route.prefix}' stands at ${before} too`)]
+    const previousPath = seenValues.record(route.prefix, `${path}.routes.${index}`)
+    if (previousPath === undefined) return []
+    return [createProblem(`${path}.routes.${index}.prefix`, 'each prefix only once', `'${route.prefix}' already occurs at ${previousPath}`)]
   })
 }
 
@@ -140,7 +140,7 @@
       problems.push(createProblem(`${path}.places.${domain}`, 'the name of a failure domain', `no region has '${domain}'`))
     }
     if (!HEADER_NAME.test(service.refusal.header)) {
-      problems.push(createProblem(`${path}.refusal.header`, 'the name of an HTTP header', `'${service.refusal.header}' is none`))
+      problems.push(createProblem(`${path}.refusal.header`, 'the name of an HTTP header', `'${service.refusal.header}' is not valid`))
     }
     problems.push(...checkRoutes(service, path))
   }
@@ -169,27 +169,27 @@
   return problems
 }
 
-/** Without a place left, every request of the service would be refused. */
+/** Without a remaining place, all requests for the service would be refused. */
 const checkRemainingPlaces: Rule = (configuration) => {
   const problems: ConfigurationProblem[] = []
   for (const [name, service] of Object.entries(configuration.services)) {
-    const usable = Object.entries(service.places).filter(([, place]) => computePlaceCapacity(place) > 0)
-    const left = usable.filter(([domain]) => {
+    const usablePlaces = Object.entries(service.places).filter(([, place]) => computePlaceCapacity(place) > 0)
+    const remainingPlaces = usablePlaces.filter(([domain]) => {
       const region = findRegion(configuration, domain)
       return region !== undefined && !isPlaceDrained(configuration, name, region, domain)
     })
-    if (left.length > 0) continue
-    const isDrained = usable.length > 0
+    if (remainingPlaces.length > 0) continue
+    const isDrained = usablePlaces.length > 0
     const path = isDrained ? 'drains' : `services.${name}.places`
-    const found = isDrained
-      ? `the drains take out every place of '${name}' (${usable.map(([domain]) => domain).join(', ')})`
+    const actual = isDrained
+      ? `the drains exclude every place of '${name}' (${usablePlaces.map(([domain]) => domain).join(', ')})`
       : `no place of '${name}' has a worker`
-    problems.push(createProblem(path, `at least one place with a worker left for service '${name}'`, found))
+    problems.push(createProblem(path, `at least one place with a worker left for service '${name}'`, actual))
   }
   return problems
 }
 
-/** The regions of the places of a service that are in use, with room for at least one request. */
+/** The regions of a service's places that are not drained and can run at least one request at a time. */
 function listServingRegions (configuration: SteeringConfiguration, name: string): string[] {
   const places = Object.entries(configuration.services[name]?.places ?? {})
   return places.flatMap(([domain, place]) => {
@@ -199,18 +199,18 @@
   })
 }
 
-/** A region whose clients can reach no place of a service any more has all their requests refused. */
+/** All requests for a service are refused in a region whose clients cannot reach any of its places. */
 const checkReachablePlaces: Rule = (configuration) => {
   const { regions, links, services } = configuration
   const problems: ConfigurationProblem[] = []
   for (const name of Object.keys(services)) {
-    const serving = listServingRegions(configuration, name)
-    if (serving.length === 0) continue
+    const servingRegions = listServingRegions(configuration, name)
+    if (servingRegions.length === 0) continue
     for (const [region, { clientBlocks }] of Object.entries(regions)) {
-      const isReachable = serving.includes(region) || links.some((link) => link.from === region && serving.includes(link.to))
+      const isReachable = servingRegions.includes(region) || links.some((link) => link.from === region && servingRegions.includes(link.to))
       if (clientBlocks.length === 0 || isReachable) continue
-      const found = `clients of '${region}' have neither a place nor a link to one (${[...new Set(serving)].join(', ')})`
-      problems.push(createProblem(`services.${name}.places`, `a place or a link to one for clients of '${region}'`, found))
+      const actual = `clients of '${region}' have neither a place nor a link to one (${[...new Set(servingRegions)].join(', ')})`
+      problems.push(createProblem(`services.${name}.places`, `a place or a link to one for clients of '${region}'`, actual))
     }
   }
   return problems
@@ -222,8 +222,8 @@
 ]
 
 /**
- * @param configuration a configuration that passed the schema
- * @returns every rule that it breaks
+ * @param configuration a configuration that conforms to the schema
+ * @returns a problem for each violation of a rule
  */
 export function listRuleProblems (configuration: SteeringConfiguration): ConfigurationProblem[] {
   return RULES.flatMap((rule) => rule(configuration))
--- a/packages/steering/src/common/configuration/contentChunks.ts
+++ b/packages/steering/src/common/configuration/contentChunks.ts
@@ -1,52 +1,52 @@
 /**
- * Content-defined chunking (Xia et al., FastCDC, USENIX ATC 2016): the places to
- * cut depend only on the text just before them, so a change moves the chunks
- * around it and leaves the others, and their names, as they are.
+ * Content-defined chunking (Xia et al., FastCDC, USENIX ATC 2016): a chunk boundary
+ * depends only on the text just before it, so a change affects the chunks around it
+ * and leaves the others, and their names, unchanged.
  */
 import { computeHash32 } from '../hash/xxHash.js'
 
-/** Sizes of chunks in UTF-16 code units; canonical JSON is mostly ASCII, so about bytes. */
+/** Sizes of chunks in UTF-16 code units; for canonical JSON, which is mostly ASCII, about the number of bytes. */
 export interface ChunkSizes {
-  readonly least: number
-  /** About the mean of what is beyond `least`; a power of two. */
-  readonly usual: number
-  readonly most: number
+  readonly minLength: number
+  /** Approximate mean length beyond {@link ChunkSizes.minLength}; a power of two. */
+  readonly targetLength: number
+  readonly maxLength: number
 }
 
-const GEAR_VALUES = 256
-const GEAR_MASK = GEAR_VALUES - 1
-/** The hash is 32 bits wide and moves by one bit for each code unit, so it knows the last 32. */
+const GEAR_TABLE_SIZE = 256
+const LOW_BYTE_MASK = GEAR_TABLE_SIZE - 1
+/** The hash has 32 bits and is shifted by one bit per code unit, so it depends on the last 32 code units. */
 const HASH_BITS = 32
-/** A random number for each value of a code unit's low byte; the same on every node. */
-const GEAR = Int32Array.from({ length: GEAR_VALUES }, (_, value) => computeHash32(`gear ${value}`) | 0)
+/** A pseudorandom number for each value of a code unit's low byte, the same on every node. */
+const GEAR_TABLE = Int32Array.from({ length: GEAR_TABLE_SIZE }, (_, value) => computeHash32(`gear ${value}`) | 0)
 
-/** The highest bits depend on all 32 code units, the lowest on the last one only. */
-function computeCutMask (usual: number): number {
-  return ~(2 ** (HASH_BITS - Math.round(Math.log2(usual))) - 1)
+/** Selects the highest bits of the hash: these depend on all 32 code units, whereas the lowest bit depends only on the last one. */
+function computeBoundaryMask (targetLength: number): number {
+  return ~(2 ** (HASH_BITS - Math.round(Math.log2(targetLength))) - 1)
 }
 
-function findCut (text: string, from: number, sizes: ChunkSizes, mask: number): number {
-  const end = Math.min(text.length, from + sizes.most)
-  const least = from + sizes.least
+function findChunkEnd (text: string, start: number, sizes: ChunkSizes, mask: number): number {
+  const maxEnd = Math.min(text.length, start + sizes.maxLength)
+  const minEnd = start + sizes.minLength
   let hash = 0
-  for (let index = Math.max(from, least - HASH_BITS); index < end; index++) {
-    hash = ((hash << 1) + (GEAR[text.charCodeAt(index) & GEAR_MASK] as number)) | 0
-    if (index >= least && (hash & mask) === 0) return index + 1
+  for (let index = Math.max(start, minEnd - HASH_BITS); index < maxEnd; index++) {
+    hash = ((hash << 1) + (GEAR_TABLE[text.charCodeAt(index) & LOW_BYTE_MASK] as number)) | 0
+    if (index >= minEnd && (hash & mask) === 0) return index + 1
   }
-  return end
+  return maxEnd
 }
 
 /**
- * Cuts a text into chunks; put together again they give the text.
+ * Splits a text into chunks, which result in the text again when they are joined.
  * @param text any text
- * @param sizes the bounds of a chunk; only the last one may be smaller
- * @returns the chunks in their order; none for an empty text
+ * @param sizes the limits for the length of a chunk; only the last chunk may be shorter
+ * @returns the chunks in order; none for an empty text
  */
 export function splitContent (text: string, sizes: ChunkSizes): string[] {
-  const mask = computeCutMask(sizes.usual)
+  const mask = computeBoundaryMask(sizes.targetLength)
   const chunks: string[] = []
   for (let from = 0; from < text.length;) {
-    const to = findCut(text, from, sizes, mask)
+    const to = findChunkEnd(text, from, sizes, mask)
     chunks.push(text.slice(from, to))
     from = to
   }
--- a/packages/steering/src/common/configuration/findRegion.ts
+++ b/packages/steering/src/common/configuration/findRegion.ts
@@ -1,10 +1,10 @@
-/** Where a failure domain stands. */
+/** Maps failure domains to regions. */
 import type { SteeringConfiguration } from './configurationSchema.js'
 
 /**
- * @param configuration a configuration that passed the schema
- * @param failureDomain a failure domain's name
- * @returns the region it belongs to, or undefined if no region names it
+ * @param configuration a configuration that conforms to the schema
+ * @param failureDomain the name of a failure domain
+ * @returns the name of the region that contains it, or undefined if there is none
  */
 export function findRegion (configuration: SteeringConfiguration, failureDomain: string): string | undefined {
   const regions = Object.entries(configuration.regions)
--- a/packages/steering/src/common/configuration/json-merge-patch.d.ts
+++ b/packages/steering/src/common/configuration/json-merge-patch.d.ts
@@ -1,9 +1,9 @@
-/** Types of the untyped library json-merge-patch, as far as it is used. */
+/** Types for the functions of the untyped library json-merge-patch that are used here. */
 declare module 'json-merge-patch' {
   interface JsonMergePatch {
-    /** Applies a patch; writes into the target and returns the result. */
+    /** Applies a patch; modifies the target and returns the result. */
     apply (target: unknown, patch: unknown): unknown
-    /** Makes the patch that turns one document into another; undefined if they are equal. */
+    /** Returns the patch that turns one document into another; undefined if they are equal. */
     readonly generate: (before: unknown, after: unknown) => unknown
   }
   const jsonMergePatch: JsonMergePatch
--- a/packages/steering/src/common/configuration/patchConfiguration.ts
+++ b/packages/steering/src/common/configuration/patchConfiguration.ts
@@ -1,4 +1,4 @@
-/** JSON Merge Patch (RFC 7396) against a numbered version of the configuration. */
+/** Applies a JSON Merge Patch (RFC 7396) to a specific version of the configuration. */
 import jsonMergePatch from 'json-merge-patch'
 import type { Result } from '@umberspar/base/common/result'
 import { Err } from '@umberspar/base/common/result'
@@ -11,29 +11,29 @@
 
 /** Why a patch was refused. */
 export enum PatchRefusalKind {
-  /** The patch was made against another version than the one in force. */
+  /** The patch was created for a version that is not the current one. */
   StaleBase = 'stale-base',
-  /** The patched configuration breaks a rule. */
+  /** The patched configuration is not valid. */
   InvalidResult = 'invalid-result',
-  /** The patch is no JSON object, or uses a name that cannot be patched. */
+  /** The patch is not a JSON object, or contains a reserved name. */
   MalformedPatch = 'malformed-patch'
 }
 
-/** A refused patch. */
+/** Why a patch was refused, with details. */
 export interface PatchRefusal {
   readonly kind: PatchRefusalKind
   readonly message: string
   readonly baseVersion: number
   readonly currentVersion: number
-  /** Stale base: paths that the patch writes and that changed since the base; all its paths if the base is unknown. */
+  /** For a stale base: paths in the patch that have changed since the base version; all its paths if the base version is not known. */
   readonly conflictingPaths: readonly string[]
-  /** Invalid result or malformed patch: every fault found. */
+  /** For an invalid result or a malformed patch: all errors that were found. */
   readonly problems: readonly ConfigurationProblem[]
 }
 
-/** A patch as an operator sends it. */
+/** A patch sent by an operator. */
 export interface PatchRequest {
-  /** The version that the operator looked at. */
+  /** The version for which the operator created the patch. */
   readonly baseVersion: number
   /** A JSON Merge Patch. */
   readonly patch: unknown
@@ -49,7 +49,7 @@
   return path.join('.')
 }
 
-/** Paths of all values that a patch sets or removes; objects without fields count as values. */
+/** Lists the paths of all values that a patch sets or removes; empty objects count as values. */
 function listLeafPaths (patch: unknown, path: readonly string[] = []): string[][] {
   if (!isObject(patch)) return [[...path]]
   const keys = Object.keys(patch)
@@ -58,17 +58,20 @@
 }
 
 /**
- * Finds keys that the library skips together with every key behind them, or on
- * which it throws; part of the patch would be lost without a word.
+ * Lists paths with reserved names. The library throws on such a key, or ignores it
+ * together with all keys after it, so that a part of the patch would be lost silently.
  */
 function listReservedPaths (patch: unknown): string[] {
   const paths = listLeafPaths(patch).filter((path) => path.some(isReservedName))
   return paths.map(formatPath)
 }
 
-/** What stands at a path, and how much of the path exists. */
+/** The value at a path. */
 interface PathValue {
+  /** Number of keys of the path that exist. */
   readonly depth: number
+  /** The value as canonical JSON; undefined if the path does not exist. */
+  /** The value as canonical JSON; undefined if the path does not exist. */
   readonly text: string | undefined
 }
 
@@ -81,7 +84,7 @@
   return { depth: path.length, text: encodeCanonical(value) }
 }
 
-/** A path also counts as changed if the object that the patch writes into came or went. */
+/** A path has also changed if one of the objects that contain it was added or removed. */
 function hasChanged (base: unknown, current: unknown, path: readonly string[]): boolean {
   const before = readPath(base, path)
   const after = readPath(current, path)
@@ -89,8 +92,8 @@
 }
 
 /**
- * Copies the objects that a patch reaches into; the rest is shared. The library
- * writes into its target, which is the configuration in force.
+ * Copies the objects that a patch modifies and shares all others. The library
+ * modifies its target, but the current configuration must not change.
  */
 function createPatchTarget (target: unknown, patch: unknown): unknown {
   if (!isObject(target) || !isObject(patch)) return target
@@ -101,7 +104,7 @@
   return copy
 }
 
-function createMalformed (current: VersionedConfiguration, baseVersion: number, problems: ConfigurationProblem[]): PatchRefusal {
+function createMalformedRefusal (current: VersionedConfiguration, baseVersion: number, problems: ConfigurationProblem[]): PatchRefusal {
   return {
     kind: PatchRefusalKind.MalformedPatch,
     message: 'the patch cannot be applied',
@@ -118,43 +121,43 @@
     return [{ path: '', expected, message: `expected ${expected}` }]
   }
   return listReservedPaths(patch).map((path) => {
-    const expected = 'no name that JavaScript objects have by themselves'
+    const expected = 'no name of a built-in property of JavaScript objects'
     return { path, expected, message: `expected ${expected}` }
   })
 }
 
-function createStale (
+function createStaleRefusal (
   current: VersionedConfiguration, baseBody: SteeringConfiguration | undefined, request: PatchRequest
 ): PatchRefusal {
-  const written = listLeafPaths(request.patch)
-  const conflicting = baseBody === undefined
-    ? written
-    : written.filter((path) => hasChanged(baseBody, current.body, path))
+  const writtenPaths = listLeafPaths(request.patch)
+  const conflictingPaths = baseBody === undefined
+    ? writtenPaths
+    : writtenPaths.filter((path) => hasChanged(baseBody, current.body, path))
   return {
     kind: PatchRefusalKind.StaleBase,
-    message: `the patch was made against version ${request.baseVersion}, version ${current.head.version} is in force`,
+    message: `the patch was created for version ${request.baseVersion}, but the current version is ${current.head.version}`,
     baseVersion: request.baseVersion,
     currentVersion: current.head.version,
-    conflictingPaths: conflicting.map(formatPath),
+    conflictingPaths: conflictingPaths.map(formatPath),
     problems: []
   }
 }
 
 /**
- * Applies a patch to the configuration in force; neither is changed. A stale
- * patch is refused also if nothing it writes has changed: the operator decided
- * on a state that is no longer there.
- * @param current the configuration in force
+ * Applies a patch to the current configuration without modifying either. A patch
+ * for an old version is refused even if none of its paths have changed, as the
+ * operator based it on a configuration that is no longer current.
+ * @param current the current configuration
  * @param baseBody the body of the base version, if it is still known
  * @param request the patch and its base version
- * @returns the whole new configuration, or why there is none
+ * @returns the complete new configuration, or why the patch was refused
  */
 export function applyPatch (
   current: VersionedConfiguration, baseBody: SteeringConfiguration | undefined, request: PatchRequest
 ): Result<SteeringConfiguration, PatchRefusal> {
-  const malformed = listPatchProblems(request.patch)
-  if (malformed.length > 0) return Err(createMalformed(current, request.baseVersion, malformed))
-  if (request.baseVersion !== current.head.version) return Err(createStale(current, baseBody, request))
+  const patchProblems = listPatchProblems(request.patch)
+  if (patchProblems.length > 0) return Err(createMalformedRefusal(current, request.baseVersion, patchProblems))
+  if (request.baseVersion !== current.head.version) return Err(createStaleRefusal(current, baseBody, request))
   const patched = jsonMergePatch.apply(createPatchTarget(current.body, request.patch), request.patch)
   return validateConfiguration(patched).mapErr((problems): PatchRefusal => ({
     kind: PatchRefusalKind.InvalidResult,
--- a/packages/steering/src/common/configuration/rollbackPatch.ts
+++ b/packages/steering/src/common/configuration/rollbackPatch.ts
@@ -1,13 +1,13 @@
-/** The patch that brings an earlier body back as a new version. */
+/** Computes the patch that restores an earlier configuration as a new version. */
 import jsonMergePatch from 'json-merge-patch'
 
 /**
- * Configurations hold no null, which a merge patch could not set; arrays that
- * differ are replaced as a whole.
- * @param present the body in force
- * @param earlier the body to come back to
- * @returns a JSON Merge Patch (RFC 7396); without fields if the two are equal
+ * Configurations never contain null, which a merge patch cannot set; arrays that
+ * differ are replaced completely.
+ * @param current the body of the current configuration
+ * @param previous the body to restore
+ * @returns a JSON Merge Patch (RFC 7396); an empty object if the two are equal
  */
-export function computeRollbackPatch (present: object, earlier: object): Record<string, unknown> {
-  return (jsonMergePatch.generate(present, earlier) ?? {}) as Record<string, unknown>
+export function computeRollbackPatch (current: object, previous: object): Record<string, unknown> {
+  return (jsonMergePatch.generate(current, previous) ?? {}) as Record<string, unknown>
 }
--- a/packages/steering/src/common/configuration/validateConfiguration.ts
+++ b/packages/steering/src/common/configuration/validateConfiguration.ts
@@ -1,4 +1,4 @@
-/** The whole check of a configuration: the schema, then the rules between fields. */
+/** Validates a configuration against the schema and then the rules across fields. */
 import type { z } from 'zod'
 import { Err, Ok } from '@umberspar/base/common/result'
 import type { Result } from '@umberspar/base/common/result'
@@ -17,8 +17,8 @@
   return issue.inclusive === false ? exclusiveWord : inclusiveWord
 }
 
-/** What was expected, by the kind of the schema's issue. */
-const EXPECTATIONS: { readonly [Code in SchemaIssue['code']]?: (issue: Extract<SchemaIssue, { code: Code }>) => string } = {
+/** Describes the expected value, by the code of the schema's issue. */
+const EXPECTATION_BY_ISSUE: { readonly [Code in SchemaIssue['code']]?: (issue: Extract<SchemaIssue, { code: Code }>) => string } = {
   invalid_type: (issue) => issue.expected,
   invalid_value: (issue) => `one of ${issue.values.map((value) => JSON.stringify(value)).join(', ')}`,
   too_small: (issue) => `${formatBound(issue, 'at least', 'more than')} ${issue.minimum} (${issue.origin})`,
@@ -26,13 +26,13 @@
   invalid_key: (issue) => issue.issues.map((inner) => formatExpected(inner)).join('; ')
 }
 
-/** The schema's own messages say `expected …` where its kinds of issue do not tell enough. */
-const OWN_MESSAGE = /^expected (.+)$/
+/** Matches the messages `expected …` that the schema defines where the issue code is not specific enough. */
+const EXPECTED_MESSAGE = /^expected (.+)$/
 
 function formatExpected (issue: SchemaIssue): string {
-  const own = OWN_MESSAGE.exec(issue.message)
-  if (own !== null) return own[1] ?? ''
-  const formatIssue = EXPECTATIONS[issue.code] as ((issue: SchemaIssue) => string) | undefined
+  const match = EXPECTED_MESSAGE.exec(issue.message)
+  if (match !== null) return match[1] ?? ''
+  const formatIssue = EXPECTATION_BY_ISSUE[issue.code] as ((issue: SchemaIssue) => string) | undefined
   return formatIssue?.(issue) ?? issue.message
 }
 
@@ -54,9 +54,9 @@
 }
 
 /**
- * Checks a configuration by the schema and, if it passes, by the rules between fields.
+ * Validates a configuration against the schema and, if it conforms, against the rules across fields.
  * @param input a parsed JSON document
- * @returns the configuration with all defaults filled in, or every fault found
+ * @returns the configuration with all defaults filled in, or all errors that were found
  */
 export function validateConfiguration (input: unknown): Result<SteeringConfiguration, ConfigurationProblem[]> {
   const parsed = configurationSchema.safeParse(input, { reportInput: true })
--- a/packages/steering/src/common/configuration/versionedConfiguration.ts
+++ b/packages/steering/src/common/configuration/versionedConfiguration.ts
@@ -1,27 +1,27 @@
-/** A configuration with its number and the identity of the change that made it. */
+/** A configuration with its version number and the id of the change that created it. */
 import type { SteeringConfiguration } from './configurationSchema.js'
 
-/** What `config/head` in the store holds, and what nodes compare. */
+/** The content of `config/head` in the store, which nodes compare. */
 export interface ConfigurationHead {
-  /** Grows by one with every accepted patch; 0 means none yet. */
+  /** Increases by one with every accepted patch; 0 means that there is no configuration yet. */
   readonly version: number
-  /** Random; tells whose write took effect when an answer was lost. */
+  /** A random id; shows whose write took effect when the response to a write was lost. */
   readonly changeId: string
   /** xxHash64 of the canonical JSON body, in hexadecimal. */
   readonly digest: string
 }
 
-/** A configuration in force. */
+/** A configuration and its head. */
 export interface VersionedConfiguration {
   readonly head: ConfigurationHead
   readonly body: SteeringConfiguration
 }
 
 /**
- * The one rule of adoption: only a higher version replaces what is in force.
- * @param current the version in force, 0 for none
- * @param offered the version offered
- * @returns whether to adopt the offer
+ * Decides whether to adopt a version: only a higher version replaces the current one.
+ * @param current the current version; 0 if there is none
+ * @param offered the offered version
+ * @returns whether to adopt the offered version
  */
 export function shouldAdopt (current: number, offered: number): boolean {
   return offered > current
--- a/packages/steering/src/common/request/route.ts
+++ b/packages/steering/src/common/request/route.ts
@@ -1,11 +1,11 @@
 /** Finds the route of a request and whether the request is idempotent. */
 import type { RouteConfiguration, ServiceConfiguration } from '../configuration/configurationSchema.js'
-import { RepeatRule, RequestKind } from '../configuration/configurationSchema.js'
+import { IdempotenceRule, RequestKind } from '../configuration/configurationSchema.js'
 
 /** The route of requests that match no configured prefix. */
 export const DEFAULT_ROUTE: RouteConfiguration = {
   prefix: '/',
-  repeat: RepeatRule.ByMethod,
+  repeat: IdempotenceRule.ByMethod,
   kind: RequestKind.Call,
   priority: 5
 }
@@ -13,10 +13,10 @@
 /** The safe methods of RFC 9110, section 9.2.1; CONNECT, PUT and DELETE are not safe. */
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS', 'TRACE'])
 
-const IDEMPOTENCE_RULES: Readonly<Record<RepeatRule, (method: string) => boolean>> = {
-  [RepeatRule.ByMethod]: (method) => SAFE_METHODS.has(method.toUpperCase()),
-  [RepeatRule.Idempotent]: () => true,
-  [RepeatRule.NotIdempotent]: () => false
+const IDEMPOTENCE_RULES: Readonly<Record<IdempotenceRule, (method: string) => boolean>> = {
+  [IdempotenceRule.ByMethod]: (method) => SAFE_METHODS.has(method.toUpperCase()),
+  [IdempotenceRule.Idempotent]: () => true,
+  [IdempotenceRule.NotIdempotent]: () => false
 }
 
 /** Matches paths that an upstream may normalize to a different path. */
--- a/packages/steering/test/common/configuration/patchConfiguration.test.ts
+++ b/packages/steering/test/common/configuration/patchConfiguration.test.ts
@@ -1,4 +1,4 @@
-/** Patches: against the version in force only, never changing it, always checked as a whole. */
+/** Tests that patches apply only to the current version, never modify it and are validated completely. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
@@ -10,7 +10,7 @@
 
 const SEED = 20_251
 
-function buildCurrent (version: number, body: SteeringConfiguration = buildSampleConfiguration()): VersionedConfiguration {
+function buildVersion (version: number, body: SteeringConfiguration = buildSampleConfiguration()): VersionedConfiguration {
   return { head: { version, changeId: 'c', digest: computeDigest(encodeCanonical(body)) }, body }
 }
 
@@ -24,60 +24,60 @@
 }, { requiredKeys: [] })
 
 describe('applyPatch', () => {
-  it('changes neither the configuration in force nor the patch', () => {
+  it('modifies neither the current configuration nor the patch', () => {
     fc.assert(fc.property(patchArbitrary, (patch) => {
-      const current = buildCurrent(3)
+      const current = buildVersion(3)
       const before = encodeCanonical([current, patch])
-      const applied = applyPatch(current, current.body, { baseVersion: 3, patch })
+      const result = applyPatch(current, current.body, { baseVersion: 3, patch })
       assert.equal(encodeCanonical([current, patch]), before)
-      if (applied.ok) {
-        assert.deepEqual(applied.val.regions, current.body.regions)
-        assert.equal(applied.val.lookupCacheMs, patch.lookupCacheMs === undefined ? current.body.lookupCacheMs : patch.lookupCacheMs ?? 2000)
-      } else assert.equal(applied.val.kind, PatchRefusalKind.InvalidResult)
+      if (result.ok) {
+        assert.deepEqual(result.val.regions, current.body.regions)
+        assert.equal(result.val.lookupCacheMs, patch.lookupCacheMs === undefined ? current.body.lookupCacheMs : patch.lookupCacheMs ?? 2000)
+      } else assert.equal(result.val.kind, PatchRefusalKind.InvalidResult)
     }), { seed: SEED, numRuns: 300 })
   })
 
-  // Two operators look at version 3. The first lowers the cap, giving version 4;
-  // the second's patch, still against 3, arrives later. It must be refused
-  // whatever it writes, and be told exactly what the first one changed under it.
-  it('refuses a stale base and lists the written paths that changed', () => {
-    const base = buildCurrent(3)
-    const first = applyPatch(base, base.body, { baseVersion: 3, patch: { shiftCaps: { planned: 0.05 }, services: { 'escort-svc': { places: { 'klang-b': null } } } } })
-    assert.ok(first.ok)
-    const current = buildCurrent(4, first.val)
+  // Two operators create patches for version 3. The first patch results in version 4, so the
+  // second one must be refused whatever it contains, and the refusal must list exactly those
+  // of its paths that the first patch changed.
+  it('refuses a stale base and lists the paths of the patch that changed', () => {
+    const base = buildVersion(3)
+    const firstResult = applyPatch(base, base.body, { baseVersion: 3, patch: { shiftCaps: { planned: 0.05 }, services: { 'escort-svc': { places: { 'klang-b': null } } } } })
+    assert.ok(firstResult.ok)
+    const current = buildVersion(4, firstResult.val)
     const patch = {
       lookupCacheMs: 100,
       shiftCaps: { planned: 0.2, emergency: 0.6 },
       services: { 'escort-svc': { places: { 'klang-b': { workers: { w3: { address: '10.9.9.9:80' } } } } } }
     }
-    const known = applyPatch(current, base.body, { baseVersion: 3, patch })
-    assert.ok(known.err)
-    assert.equal(known.val.kind, PatchRefusalKind.StaleBase)
-    assert.deepEqual(known.val.conflictingPaths, ['shiftCaps.planned', 'services.escort-svc.places.klang-b.workers.w3.address'])
-    const unknown = applyPatch(current, undefined, { baseVersion: 3, patch })
-    assert.ok(unknown.err)
-    assert.equal(unknown.val.conflictingPaths.length, 4)
-    const harmless = applyPatch(current, base.body, { baseVersion: 3, patch: { lookupCacheMs: 100 } })
-    assert.ok(harmless.err)
-    assert.deepEqual(harmless.val.conflictingPaths, [])
-    assert.ok(applyPatch(current, undefined, { baseVersion: 5, patch }).err, 'a base from the future')
+    const withKnownBase = applyPatch(current, base.body, { baseVersion: 3, patch })
+    assert.ok(withKnownBase.err)
+    assert.equal(withKnownBase.val.kind, PatchRefusalKind.StaleBase)
+    assert.deepEqual(withKnownBase.val.conflictingPaths, ['shiftCaps.planned', 'services.escort-svc.places.klang-b.workers.w3.address'])
+    const withUnknownBase = applyPatch(current, undefined, { baseVersion: 3, patch })
+    assert.ok(withUnknownBase.err)
+    assert.equal(withUnknownBase.val.conflictingPaths.length, 4)
+    const withoutConflict = applyPatch(current, base.body, { baseVersion: 3, patch: { lookupCacheMs: 100 } })
+    assert.ok(withoutConflict.err)
+    assert.deepEqual(withoutConflict.val.conflictingPaths, [])
+    assert.ok(applyPatch(current, undefined, { baseVersion: 5, patch }).err, 'a patch for a version that does not exist yet must be refused')
   })
 
-  // An operator names a service `constructor`. The library stops at that key and
-  // drops the keys behind it, so half of the patch would silently be lost.
-  it('refuses what the library cannot apply whole', () => {
-    const current = buildCurrent(1)
+  // If an operator names a service `constructor`, the library ignores that key and all keys
+  // after it, so a part of the patch would be lost silently.
+  it('refuses patches that the library cannot apply completely', () => {
+    const current = buildVersion(1)
     const patches = [JSON.parse('{"services":{"constructor":{}},"lookupCacheMs":1}'), JSON.parse('{"__proto__":{"a":1}}'), [], null, 'x']
     for (const patch of patches) {
-      const applied = applyPatch(current, current.body, { baseVersion: 1, patch })
-      assert.ok(applied.err)
-      assert.equal(applied.val.kind, PatchRefusalKind.MalformedPatch)
+      const result = applyPatch(current, current.body, { baseVersion: 1, patch })
+      assert.ok(result.err)
+      assert.equal(result.val.kind, PatchRefusalKind.MalformedPatch)
     }
   })
 })
 
 describe('encodeCanonical', () => {
-  it('is JSON of the same value and blind to the order of keys', () => {
+  it('is JSON of the same value and does not depend on the order of keys', () => {
     fc.assert(fc.property(fc.jsonValue(), (value) => {
       const text = encodeCanonical(value)
       assert.equal(encodeCanonical(JSON.parse(text)), text)
--- a/packages/steering/test/common/request/request.test.ts
+++ b/packages/steering/test/common/request/request.test.ts
@@ -1,7 +1,7 @@
 /** Tests of header filtering, routes and error bodies. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { RepeatRule } from '../../../src/common/configuration/configurationSchema.js'
+import { IdempotenceRule } from '../../../src/common/configuration/configurationSchema.js'
 import { removeHopByHop } from '../../../src/common/request/headers.js'
 import { buildProblem, ProblemKind } from '../../../src/common/request/requestProblem.js'
 import { DEFAULT_ROUTE, findRoute, isIdempotent } from '../../../src/common/request/route.js'
@@ -25,8 +25,8 @@
 describe('findRoute', () => {
   const service = buildSampleConfiguration().services['escort-svc']
   assert.ok(service)
-  const assign = { ...DEFAULT_ROUTE, prefix: '/assign', repeat: RepeatRule.NotIdempotent }
-  const status = { ...DEFAULT_ROUTE, prefix: '/assign/status', repeat: RepeatRule.Idempotent }
+  const assign = { ...DEFAULT_ROUTE, prefix: '/assign', repeat: IdempotenceRule.NotIdempotent }
+  const status = { ...DEFAULT_ROUTE, prefix: '/assign/status', repeat: IdempotenceRule.Idempotent }
   const withRoutes = { ...service, routes: [assign, status] }
 
   it('finds the longest matching prefix or the default route', () => {
