--- a/packages/steering/src/common/burn/burnReport.ts
+++ b/packages/steering/src/common/burn/burnReport.ts
@@ -1,54 +1,54 @@
-/** The service-level burn report: many daemons' counts against the objectives. */
+/** The burn report: how fast services use up the error budget of their service-level objectives, over many daemons. */
 import type { ServiceConfiguration } from '../configuration/configurationSchema.js'
 import type { Instant } from '@umberspar/base/common/clock'
 import type { BurnCounts, ServiceCounts } from './burnCounter.js'
 import { BurnWindow } from './burnCounter.js'
 
-/** What a service is measured against. */
+/** The service-level objective of a service. */
 export type ServiceObjective = ServiceConfiguration['objective']
 
-/** One service as a daemon reports it. */
+/** The objective and counts of one service, as reported by a daemon. */
 export interface ServiceBurn extends ServiceCounts {
   readonly objective: ServiceObjective
 }
 
-/** The answer of one daemon to `GET /v1/burn`. */
+/** The response of one daemon to `GET /v1/burn`. */
 export interface NodeBurn {
   readonly services: Readonly<Record<string, ServiceBurn>>
 }
 
-/** Counts and what follows from them. */
+/** Counts and the rates computed from them. */
 export interface BurnFigures extends BurnCounts {
-  /** The part of requests that were bad, 0 to 1; 0 without requests. */
+  /** The fraction of requests that were bad, from 0 to 1; 0 without requests. */
   readonly errorRate: number
-  /** How many times faster than allowed the error budget is used; 1 uses up exactly all of it. */
+  /** The error rate relative to the error rate that the objective allows; 1 uses up the error budget exactly. */
   readonly burnRate: number
 }
 
-/** One service of the report. */
+/** The part of the report for one service. */
 export interface ServiceBurnReport {
   readonly objective: ServiceObjective
   readonly windows: Readonly<Record<BurnWindow, BurnFigures>>
   readonly total: BurnFigures
-  /** The part of the error budget left over all counted requests; below 0 if overspent. */
+  /** The fraction of the error budget that remains, over all counted requests; below 0 if it is exceeded. */
   readonly errorBudgetLeft: number
 }
 
-/** The report over all daemons asked. */
+/** The report for all daemons that were queried. */
 export interface BurnReport {
   readonly services: Readonly<Record<string, ServiceBurnReport>>
 }
 
 /**
- * Judges one request.
+ * Decides whether a request met its service's objective.
  * @param objective the service's objective
- * @param isWhole whether the caller got a whole answer of the upstream
+ * @param isComplete whether the caller received a complete response from the upstream
  * @param startedAt when the request arrived
- * @param endedAt when the answer had ended
+ * @param endedAt when the response ended
  * @returns whether the request counts as good
  */
-export function isGoodRequest (objective: ServiceObjective, isWhole: boolean, startedAt: Instant, endedAt: Instant): boolean {
-  return isWhole && endedAt - startedAt <= objective.latencyMs
+export function isGoodRequest (objective: ServiceObjective, isComplete: boolean, startedAt: Instant, endedAt: Instant): boolean {
+  return isComplete && endedAt - startedAt <= objective.latencyMs
 }
 
 function addCounts (left: BurnCounts, right: BurnCounts): BurnCounts {
@@ -59,7 +59,7 @@
   if (left === undefined) return right
   const mergeWindow = (window: BurnWindow): BurnCounts => addCounts(left.windows[window], right.windows[window])
   return {
-    // Daemons disagree only while a configuration spreads; the stricter objective is the safer to report.
+    // Objectives differ only while a new configuration is being distributed; the stricter one is the safer choice.
     objective: left.objective.target >= right.objective.target ? left.objective : right.objective,
     windows: {
       [BurnWindow.FiveMinutes]: mergeWindow(BurnWindow.FiveMinutes),
@@ -92,9 +92,9 @@
 }
 
 /**
- * Merges the counts of daemons.
- * @param nodes what each daemon counted
- * @returns the report, services in alphabetical order
+ * Builds the report from the counts of several daemons.
+ * @param nodes the counts of each daemon
+ * @returns the report, with services in alphabetical order
  */
 export function buildBurnReport (nodes: readonly NodeBurn[]): BurnReport {
   const merged = new Map<string, ServiceBurn>()
--- a/packages/steering/src/common/hash/xxHash.ts
+++ b/packages/steering/src/common/hash/xxHash.ts
@@ -1,14 +1,14 @@
 /**
- * xxHash by library. The WebAssembly module is compiled once, while this module
- * is being imported, so that every function here is synchronous.
+ * Hash functions of the xxHash library. Its WebAssembly module is compiled while this
+ * module is imported, so that all functions are synchronous.
  */
 import loadXxHash from 'xxhash-wasm'
 
 const api = await loadXxHash()
 
 /**
- * xxHash32, for ranking: well mixed, but not proof against an adversary.
- * @param text what to hash
+ * Computes xxHash32, for ranking. The values are evenly distributed, but not secure against deliberate collisions.
+ * @param text the text to hash
  * @returns an unsigned 32-bit number
  */
 export function computeHash32 (text: string): number {
@@ -16,8 +16,8 @@
 }
 
 /**
- * xxHash64, for comparing documents.
- * @param text what to hash
+ * Computes xxHash64, for comparing documents.
+ * @param text the text to hash
  * @returns 16 hexadecimal digits
  */
 export function computeHash64 (text: string): string {
--- a/packages/steering/src/common/ports/callerProtocol.ts
+++ b/packages/steering/src/common/ports/callerProtocol.ts
@@ -1,59 +1,59 @@
 /**
- * The port to how the deployment's callers and workers speak: which header fields
- * carry what, and how look-ups are asked and answered. An adapter supplies it.
+ * The protocol between the entry VMs and the deployment's callers and workers: the
+ * names of header fields, and the format of look-ups. An adapter implements it.
  */
 
-/** Header fields by what they hold, all names in lower case. */
+/** The names of header fields by their purpose, in lower case. */
 export interface HeaderNames {
-  /** Identifies one attempt of a caller; workers echo it. */
+  /** Identifies one attempt of a caller; workers return it in their responses. */
   readonly requestId: string
-  /** Milliseconds until the caller gives up. */
+  /** Milliseconds until the caller's deadline. */
   readonly deadlineMs: string
-  /** The cookie that identifies the object of a request. */
+  /** The cookie whose value identifies the object that a request is about; requests with the same value have affinity to one worker. */
   readonly keyCookie: string
-  /** A worker's seal on its answer. */
+  /** Set by workers on their responses; a successful response without it is invalid. */
   readonly seal: string
   /** The id of the only worker that may run the request. */
   readonly expectedWorker: string
-  /** A worker's load: running, waiting, slots. */
+  /** A worker's load: the numbers of running requests, waiting requests and slots. */
   readonly load: string
-  /** The requests a second that a worker takes from all entry VMs together, for as long as its answers say so; any of these names. */
+  /** The requests per second that a worker accepts from all entry VMs together, while its responses contain the field; alternative names. */
   readonly rateLimit: readonly string[]
-  /** Stands on answers of a worker that did not run the request. */
+  /** Set by a worker on its response if it did not run the request. */
   readonly notRun: string
-  /** The name of the caller's account, told to workers. */
+  /** The name of the caller's client account, sent to workers. */
   readonly account: string
 }
 
-/** A look-up as asked. */
+/** A look-up of entry VMs. */
 export interface LookupQuery {
   readonly host: string
   readonly region: string
   readonly domain: string
 }
 
-/** What a look-up is answered. */
+/** The response to a look-up. */
 export interface LookupAnswer {
-  /** `host:port` of entry VMs. */
+  /** The addresses of entry VMs, as `host:port`. */
   readonly addresses: readonly string[]
-  /** How long the answer may be kept, in milliseconds. */
+  /** How long the response may be cached, in milliseconds. */
   readonly cacheMs: number
 }
 
-/** How callers are spoken to. */
+/** The protocol between entry VMs and callers. */
 export interface ICallerProtocol {
   readonly headers: HeaderNames
   /** The path of the readiness check. */
   readonly readinessPath: string
   /** The path of look-ups. */
   readonly lookupPath: string
-  /** The status with which a worker says that it is not the one expected. */
+  /** The HTTP status of a worker that is not the one in the {@link HeaderNames.expectedWorker} field. */
   readonly otherWorkerStatus: number
   /**
-   * @param query the look-up's query
-   * @returns what is asked, or undefined if it cannot be read
+   * @param query the parameters of the look-up's URL
+   * @returns the parsed look-up, or undefined if it is malformed
    */
   parseLookup(query: URLSearchParams): LookupQuery | undefined
-  /** @returns the answer's body, in JSON */
-  formatLookup(answer: LookupAnswer): string
+  /** @returns the body of the response as JSON */
+  formatLookup(response: LookupAnswer): string
 }
--- a/packages/steering/src/common/ports/peers.ts
+++ b/packages/steering/src/common/ports/peers.ts
@@ -1,4 +1,4 @@
-/** The ports between daemons: what a node answers its peers, and what it asks of them. */
+/** The interfaces between daemons: the calls that a node serves, and the calls that it makes to its peers. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import type { Deadline } from '@umberspar/base/common/deadline'
@@ -8,105 +8,105 @@
 import type { MemberReport } from '../membership/memberReport.js'
 import type { PushRoute } from '../spread/pushTree.js'
 
-/** A whole document. */
+/** A complete document. */
 export interface PeerDocument {
   readonly document: DocumentVersion
   readonly body: Uint8Array
-  /** How a pushed document goes on; left out, it is not handed on. */
+  /** How the receiver forwards a pushed document; if absent, the document is not forwarded. */
   readonly route?: PushRoute
 }
 
-/** The newest load that a node knows of one worker. */
+/** The most recent load of one worker that a node knows. */
 export interface WorkerReport {
   readonly workerId: string
-  /** 0 is idle, 1 is full; may exceed 1. */
+  /** 0 means idle, 1 means full; may exceed 1. */
   readonly utilization: number
   readonly inFlight: number
-  /** On the own clock; the adapter carries the age over the wire. */
+  /** By the local clock; the adapter transmits the age instead. */
   readonly measuredAt: Instant
   readonly isDraining: boolean
   readonly isHealthy: boolean
-  /** It says that it is starting and still cold. */
+  /** Whether the worker reports that it is starting and still cold. */
   readonly isStarting: boolean
-  /** Its health was asked for; else an answer told its load and whether it drains. */
+  /** Whether this comes from a health probe; otherwise the load and the draining state come from a response to a request. */
   readonly isProbed: boolean
-  /** Whether `utilization` and `inFlight` were told; a probe may ask for the health alone. */
+  /** Whether `utilization` and `inFlight` are known; a probe may ask only for the health. */
   readonly hasLoad: boolean
 }
 
-/** A heartbeat: who is there, in which state, with which versions. */
+/** A heartbeat: a node's state, the versions of its documents, and what it knows about workers and other nodes. */
 export interface Digest {
   readonly nodeId: string
   readonly state: AnnouncedState
-  /** Grows with every start of the node. */
+  /** Increases with every start of the node. */
   readonly incarnation: number
   readonly documents: readonly DocumentVersion[]
   readonly workers: readonly WorkerReport[]
   readonly demand: readonly DemandReport[]
   readonly region: string
   readonly failureDomain: string
-  /** Grows with every round of the node; a digest without a newer one is no sign of life. */
+  /** Increases with every heartbeat round of the node; a heartbeat without a higher number does not show that the node is alive. */
   readonly beat: number
-  /** What the node has heard of others. */
+  /** What the node knows about other nodes. */
   readonly members: readonly MemberReport[]
-  /** When a read of the store, by whichever node, last confirmed the sender's configuration; undefined if not lately. */
+  /** When a node last read the store and confirmed that the sender's configuration is current; undefined if this was not recent. */
   readonly confirmedAt: Instant | undefined
 }
 
-/** Asks to use some of a peer's slots and connections at a worker until a deadline. */
+/** A request to borrow some of a peer's slots and connections at a worker until a deadline. */
 export interface LoanRequest {
   readonly borrowerId: string
-  /** The same for a repeated request, so that a loan is not given twice. */
+  /** Stays the same when the request is retried, so that the loan is not granted twice. */
   readonly loanId: string
   readonly workerId: string
   readonly slots: number
   readonly connections: number
-  /** On the own clock of whoever holds the request. */
+  /** By the local clock of the node that has the request. */
   readonly deadline: Deadline
 }
 
-/** What was lent; zero slots and connections are a refusal. */
+/** A granted loan, or a refusal if both slots and connections are 0. */
 export interface LoanAnswer {
   readonly loanId: string
   readonly slots: number
   readonly connections: number
   /**
-   * On the own clock. The borrower's is counted from before its request was sent,
-   * the lender's from the receipt: the borrower's never lies after the lender's.
+   * By the local clock. The borrower counts from before it sent the request and the
+   * lender from when it received it, so the borrower's deadline is never the later one.
    */
   readonly deadline: Deadline
 }
 
-/** Gives a loan back before its deadline. */
+/** Returns a loan before its deadline. */
 export interface LoanReturn {
   readonly borrowerId: string
   readonly loanId: string
 }
 
-/** What a node answers its peers. A StepError thrown reaches the caller with its code. */
+/** The calls that a node serves for its peers. If a method throws a StepError, the caller receives its code. */
 export interface IPeerService {
-  /** @returns the own digest */
-  exchange(digest: Digest): Digest
-  /** @returns the document, if the own version is higher than `aboveVersion` */
+  /** @returns this node's heartbeat */
+  exchange(heartbeat: Digest): Digest
+  /** @returns the document if this node has a version higher than `aboveVersion`, otherwise undefined */
   fetch(name: string, aboveVersion: number): PeerDocument | undefined
-  /** @returns the version in force here afterwards */
+  /** @returns this node's version of the document afterwards */
   push(document: PeerDocument): Promise<number>
   borrow(request: LoanRequest): LoanAnswer
   returnLoan(loan: LoanReturn): void
 }
 
 /**
- * Calls to peers by the `host:port` of their listeners. Errors: `Unavailable` says
- * that a call had no effect, `EffectUnknown` that the answer to a push, a loan or a
- * return was lost.
+ * Calls to peers, addressed by the `host:port` of their listeners. Errors:
+ * `Unavailable` means that a call had no effect, `EffectUnknown` that the response
+ * to a push, a loan request or the return of a loan was lost.
  */
 export interface IPeerClient extends IClosable {
-  exchange(address: string, digest: Digest, deadline: Deadline): Promise<Result<Digest, StepError>>
+  exchange(address: string, heartbeat: Digest, deadline: Deadline): Promise<Result<Digest, StepError>>
   /** @returns undefined if the peer has no higher version */
   fetch(address: string, name: string, aboveVersion: number, deadline: Deadline): Promise<Result<PeerDocument | undefined, StepError>>
   push(address: string, document: PeerDocument, deadline: Deadline): Promise<Result<number, StepError>>
   borrow(address: string, request: LoanRequest, deadline: Deadline): Promise<Result<LoanAnswer, StepError>>
   returnLoan(address: string, loan: LoanReturn, deadline: Deadline): Promise<Result<void, StepError>>
-  /** Gives up the connection to a peer that is gone. */
+  /** Closes the connection to a peer that no longer exists. */
   closePeer(address: string): void
 }
--- a/packages/steering/src/common/ports/steeringSource.ts
+++ b/packages/steering/src/common/ports/steeringSource.ts
@@ -1,4 +1,4 @@
-/** The ports to the place where the deployment's records last: reading them, and registering this entry VM. */
+/** The interfaces to the store of the deployment's records: reading them, writing them and registering this entry VM. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import type { StepError } from '@umberspar/base/common/errors'
@@ -7,83 +7,85 @@
 import type { EntryNode, RecordChanges, RecordSnapshot, ShareKeeper } from '../entry/records.js'
 import type { CrashReports, Quarantine } from '../quarantine/crashReport.js'
 
-/** Who uses the records. */
+/** Receives the records and their changes. */
 export interface SteeringListener {
-  /** @returns the revision up to which everything is known, from whatever source */
+  /** @returns the revision up to which all changes are known, from any source */
   getRevision(): number
   onSnapshot(snapshot: RecordSnapshot): void
   onChanges(changes: RecordChanges): void
-  /** The store told how far it is, on a question. */
+  /** Called with the store's current revision after it was requested. */
   onReading(reading: RevisionReading): void
   /**
-   * @param reason why the source does not answer, in a few words
-   * @param since when it answered last
+   * Called when the source has become unavailable.
+   * @param reason a short description of the cause
+   * @param since when the source last responded
    */
   onLost(reason: string, since: Instant): void
+  /** Called when the source is available again. */
   onRegained(): void
 }
 
-/** Reads the records, and follows their changes while asked to, until closed. */
+/** Reads the records, and watches for changes while this is enabled, until it is closed. */
 export interface ISteeringSource extends IClosable {
   /**
-   * Reads everything once, as often as it takes to succeed. The operators' records are
-   * read as they are then; the others may be seconds old, and what follows makes good for it.
-   * @param listener who is told, from now on
+   * Reads all records once, and retries until this succeeds. The operators' records are
+   * current; the others may be seconds old, and the changes that follow bring them up to date.
+   * @param listener receives the records and their changes from now on
    */
   start(listener: SteeringListener): void
-  /** Reads everything once more, for a VM that does not follow changes. */
+  /** Reads all records once more, for a VM that does not watch for changes. */
   readAgain(): void
-  /** @param isWatching whether changes are followed from now on, and the store is asked now and then how far it is */
+  /** @param isWatching whether to watch for changes from now on, and to request the store's revision periodically */
   setWatching(isWatching: boolean): void
 }
 
-/** How long what this VM claimed is surely its own. */
+/** The lease of this VM's registration; until it ends, what the VM has claimed cannot be taken over by another VM. */
 export interface Tenure {
-  /** Claims under another one are void. */
+  /** Claims that were made under a different id are no longer valid. */
   readonly id: number
   readonly until: Instant
 }
 
-/** Keeps this entry VM's own record for as long as it serves. */
+/** Keeps this entry VM's record in the store while the VM serves requests. */
 export interface INodeRegistration extends IClosable {
-  /** Prepares for registering while the records are read for the first time. */
+  /** Prepares the registration while the records are read for the first time. */
   start(): void
   /**
-   * Writes the record, again if it is missing.
-   * @param node what to say of this VM
+   * Writes the record, and writes it again whenever it is missing.
+   * @param node the description of this VM
    */
   register(node: EntryNode): void
   /**
-   * How long this VM's claims surely last, on the clock that counts suspensions;
-   * undefined while it is not registered.
+   * Until when this VM's claims are certain to last, by the clock that includes the
+   * time in which the machine is suspended; undefined while the VM is not registered.
    */
   readonly tenure: Tenure | undefined
   /**
-   * Claims a share of the quotas for as long as this VM's record lasts.
-   * @param keeper what to say of this VM
-   * @param expectedRevision of the claim that it replaces; 0 if there must be none
-   * @returns the id of the tenure under which it stands, a Conflict if another VM came first, or why it could not be made
+   * Claims a share of the quotas for as long as this VM's record exists.
+   * @param owner the share and the description of this VM
+   * @param expectedRevision the revision of the claim to replace; 0 if there must be none
+   * @returns the id of the lease under which the share is claimed, a Conflict if another VM claimed it first, or another error
    */
-  claimShare(keeper: ShareKeeper, expectedRevision: number): Promise<Result<number, StepError>>
-  /** Removes the record, so that look-ups elsewhere leave this VM out at once. */
+  claimShare(owner: ShareKeeper, expectedRevision: number): Promise<Result<number, StepError>>
+  /** Removes the record, so that look-ups on other VMs exclude this VM immediately. */
   withdraw(): void
 }
 
-/** A record as it stands in the store. */
+/** A record in the store. */
 export interface StoredRecord {
   readonly key: string
   readonly revision: number
 }
 
-/** Writes records of this system's own that last beyond the life of this process. */
+/** Writes records of this system that outlive the process. */
 export interface IRecordWriter {
-  /** Replaces what this VM reported before. */
+  /** Replaces the crash reports that this VM has written before. */
   putCrashReports(reports: CrashReports): Promise<Result<number, StepError>>
   /**
-   * @param expectedRevision of the quarantine that it replaces; 0 if there must be none
-   * @returns its revision, or a Conflict if another VM came first
+   * @param expectedRevision the revision of the quarantine to replace; 0 if there must be none
+   * @returns the new revision, or a Conflict if another VM wrote it first
    */
   putQuarantine(quarantine: Quarantine, expectedRevision: number): Promise<Result<number, StepError>>
-  /** Removes a record; a Conflict if it has changed meanwhile. */
+  /** Removes a record; fails with a Conflict if it has changed in the meantime. */
   remove(record: StoredRecord): Promise<Result<number, StepError>>
 }
--- a/packages/steering/src/common/ports/vmList.ts
+++ b/packages/steering/src/common/ports/vmList.ts
@@ -1,48 +1,48 @@
-/** The port to the platform's list of VMs, which lags behind what happens. */
+/** The interface to the platform's list of VMs, which is updated with a delay. */
 import type { Deadline } from '@umberspar/base/common/deadline'
 import type { StepError } from '@umberspar/base/common/errors'
 import type { IClosable } from '@umberspar/base/common/closing'
 import type { Result } from '@umberspar/base/common/result'
 
-/** What a VM serves as. */
+/** What a VM is used for. */
 export enum VmRole {
-  /** Runs one umberspard. */
+  /** Runs one daemon (umberspard). */
   Entry = 'entry',
-  /** Runs upstream workers; nothing of umberspar. */
+  /** Runs upstream workers and no part of this system. */
   Upstream = 'upstream'
 }
 
-/** What the platform says of a VM. */
+/** The state of a VM according to the platform. */
 export enum VmState {
   Live = 'live',
-  /** Announced to go: it gets no new work. */
+  /** The VM is about to be removed and gets no new requests. */
   Leaving = 'leaving'
 }
 
-/** One VM of the platform's list. */
+/** One VM in the platform's list. */
 export interface VmEntry {
   readonly vmId: string
   readonly role: VmRole
   readonly state: VmState
   readonly region: string
   readonly failureDomain: string
-  /** Entry VMs: `host:port` of the callers' listener. Upstream VMs: `host:port` of the worker. */
+  /** For entry VMs, `host:port` of the listener for callers; for upstream VMs, `host:port` of the worker. */
   readonly address: string
-  /** Entry VMs only: `host:port` of the peers' listener. */
+  /** For entry VMs only, `host:port` of the listener for peers. */
   readonly peerAddress?: string
-  /** Entry VMs only: `host:port` of the operators' listener. */
+  /** For entry VMs only, `host:port` of the listener for operators. */
   readonly operatorAddress?: string
 }
 
-/** The list as it stood at the platform. */
+/** The platform's list at one point in time. */
 export interface VmListSnapshot {
-  /** Grows with every change the platform knows of. */
+  /** Increases with every change. */
   readonly version: number
   readonly vms: readonly VmEntry[]
 }
 
-/** The platform's list of live and leaving VMs. */
+/** Access to the platform's list of live and leaving VMs. */
 export interface IVmList extends IClosable {
-  /** Reads the list as the platform has it now. */
+  /** Fetches the current list. */
   fetch(deadline: Deadline): Promise<Result<VmListSnapshot, StepError>>
 }
--- a/packages/steering/src/common/state/nodeState.ts
+++ b/packages/steering/src/common/state/nodeState.ts
@@ -1,15 +1,15 @@
-/** The states of an entry VM's daemon in the membership. */
+/** The states of daemons in the membership. */
 
-/** What a daemon may be given to do. */
+/** The state of an entry VM's daemon in the membership. */
 export enum NodeState {
-  /** Started, but not ready: it has no configuration yet or no part of the limits. */
+  /** Started but not ready, as it has no configuration or no share of the limits yet. */
   Joining = 'joining',
-  /** Serves, and is named in look-ups. */
+  /** Serves requests and is included in look-ups. */
   Live = 'live',
-  /** Not heard of for a while; the VM list still has it. */
+  /** Its heartbeats have been missing for some time, but it is still in the VM list. */
   Suspected = 'suspected',
-  /** Serves what comes from cached look-ups, and is named in none. */
+  /** Excluded from look-ups, but still serves requests from callers with cached look-ups. */
   Leaving = 'leaving',
-  /** Neither heard of nor listed any more. */
+  /** Sends no heartbeats and is no longer in the VM list. */
   Gone = 'gone'
 }
--- a/packages/steering/src/common/state/outcome.ts
+++ b/packages/steering/src/common/state/outcome.ts
@@ -1,10 +1,10 @@
-/** What a caller may conclude from how a request ended. */
+/** The outcome of a request, as reported to its caller. */
 
-/** Whether a request ran. */
+/** Whether an upstream ran a request. */
 export enum Outcome {
-  /** An upstream's own answer was passed on. */
+  /** The response of an upstream was forwarded to the caller. */
   Done = 'done',
-  /** No upstream ran it: no byte left, or all that got it refused it explicitly. */
+  /** No upstream ran it: no byte was sent, or all upstreams that received it refused it explicitly. */
   NotRun = 'not-run',
   /** It may have run. */
   Unknown = 'unknown'
--- a/packages/steering/test/common/burn/burn.test.ts
+++ b/packages/steering/test/common/burn/burn.test.ts
@@ -1,4 +1,4 @@
-/** Counts per window, and the report over many daemons. */
+/** Tests of the counts per time window and of the report for several daemons. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
@@ -11,31 +11,31 @@
 const objective = { target: 0.99, latencyMs: 100 }
 
 describe('BurnCounter', () => {
-  it('counts each window as a list of all requests would', () => {
-    const requests = fc.array(fc.record({ spanMs: fc.integer({ min: 0, max: 2_000_000 }), isGood: fc.boolean() }), { maxLength: 60 })
-    fc.assert(fc.property(requests, (given) => {
+  it('counts the same requests in each window as a list of all requests', () => {
+    const requestLists = fc.array(fc.record({ elapsedMs: fc.integer({ min: 0, max: 2_000_000 }), isGood: fc.boolean() }), { maxLength: 60 })
+    fc.assert(fc.property(requestLists, (requests) => {
       const counter = new BurnCounter()
-      const times: Array<{ at: number, isGood: boolean }> = []
+      const recordedRequests: Array<{ at: number, isGood: boolean }> = []
       let now = 0
-      for (const { spanMs, isGood } of given) {
-        now += spanMs
+      for (const { elapsedMs, isGood } of requests) {
+        now += elapsedMs
         counter.record('s', isGood, now)
-        times.push({ at: now, isGood })
+        recordedRequests.push({ at: now, isGood })
       }
       const counts = counter.getCounts('s', now)
       for (const window of BURN_WINDOWS) {
-        const oldest = Math.floor(now / BUCKET_MS) - WINDOW_BUCKETS[window]
-        const inside = times.filter(({ at }) => Math.floor(at / BUCKET_MS) > oldest)
-        const good = inside.filter(({ isGood }) => isGood).length
-        assert.deepEqual(counts.windows[window], { good, bad: inside.length - good })
+        const lastExcludedBucket = Math.floor(now / BUCKET_MS) - WINDOW_BUCKETS[window]
+        const requestsInWindow = recordedRequests.filter(({ at }) => Math.floor(at / BUCKET_MS) > lastExcludedBucket)
+        const good = requestsInWindow.filter(({ isGood }) => isGood).length
+        assert.deepEqual(counts.windows[window], { good, bad: requestsInWindow.length - good })
       }
-      assert.equal(counts.total.good + counts.total.bad, given.length)
+      assert.equal(counts.total.good + counts.total.bad, requests.length)
     }), { seed: SEED, numRuns: 200 })
   })
 })
 
 describe('buildBurnReport', () => {
-  it('merges daemons and computes burn and the budget left', () => {
+  it('merges daemons and computes the burn rate and the remaining error budget', () => {
     const [first, second] = [new BurnCounter(), new BurnCounter()]
     for (let request = 0; request < 990; request++) first.record('s', true, 0)
     for (let request = 0; request < 10; request++) second.record('s', false, 4_000_000)
@@ -48,7 +48,7 @@
     assert.ok(Math.abs(report.errorBudgetLeft) < 1e-9)
   })
 
-  it('shows no burn without requests, and judges by wholeness and time', () => {
+  it('reports no burn without requests, and counts only complete and timely responses as good', () => {
     const report = buildBurnReport([{ services: { s: { objective, ...new BurnCounter().getCounts('s', 0) } } }]).services.s
     assert.equal(report?.errorBudgetLeft, 1)
     assert.deepEqual([isGoodRequest(objective, true, 0, 100), isGoodRequest(objective, true, 0, 101), isGoodRequest(objective, false, 0, 1)], [true, false, false])
--- a/packages/steering/test/common/sampleConfiguration.ts
+++ b/packages/steering/test/common/sampleConfiguration.ts
@@ -1,10 +1,10 @@
-/** A small valid configuration for the tests of this package. */
+/** A small, valid configuration for the tests of this package. */
 import type { SteeringConfiguration } from '../../src/common/configuration/configurationSchema.js'
 import { configurationSchema } from '../../src/common/configuration/configurationSchema.js'
 
 const REGIONS = ['klang', 'penang', 'kuching']
 
-/** Builds three regions of two failure domains, all linked, and one service with two workers of 4 slots in each. */
+/** Builds three fully linked regions of two failure domains each, and one service with two workers of 4 slots in each failure domain. */
 export function buildSampleInput (): Record<string, unknown> {
   const regions = Object.fromEntries(REGIONS.map((name, index) => [name, {
     failureDomains: [`${name}-a`, `${name}-b`],
@@ -31,7 +31,7 @@
   }
 }
 
-/** @returns the same, as the schema gives it back */
+/** @returns the same configuration, parsed by the schema and with defaults */
 export function buildSampleConfiguration (): SteeringConfiguration {
   return configurationSchema.parse(buildSampleInput())
 }
