--- a/packages/steering/src/common/configuration/configurationSchema.ts
+++ b/packages/steering/src/common/configuration/configurationSchema.ts
@@ -134,7 +134,7 @@
   places: z.array(z.strictObject({ service: name, failureDomain: name })).default([])
 })
 
-/** The whole steering configuration. */
+/** The complete steering configuration. */
 export const configurationSchema = z.strictObject({
   deployment: name,
   regions: z.record(name, region),
--- a/packages/steering/src/common/request/requestFlow.ts
+++ b/packages/steering/src/common/request/requestFlow.ts
@@ -128,8 +128,8 @@
  * escort assignment twice, for example, would send two members of staff to one gate.
  */
 function mayRetry (state: FlowState, context: FlowView): boolean {
-  const isProvenNotRun = mergeOutcomes(listOutcomes(state)) === Outcome.NotRun
-  if (!state.policy.isIdempotent && !isProvenNotRun) return false
+  const isKnownNotRun = mergeOutcomes(listOutcomes(state)) === Outcome.NotRun
+  if (!state.policy.isIdempotent && !isKnownNotRun) return false
   return state.attempts.length < state.policy.maxAttempts && context.hasToken && context.isBodyWhole
 }
 
@@ -142,8 +142,8 @@
   const attempt = state.attempts[event.attemptId]
   const isUsable = attempt?.state === AttemptState.Sent && state.phase === FlowPhase.Running
   if (!isUsable) return buildStep(state, [{ kind: FlowEffectKind.CancelAttempt, attemptId: event.attemptId }])
-  const answered = setAttempt(state, event.attemptId, { ...attempt, state: AttemptState.Responding })
-  const { state: rest, effects } = cancelOpenAttempts(answered)
+  const withResponse = setAttempt(state, event.attemptId, { ...attempt, state: AttemptState.Responding })
+  const { state: rest, effects } = cancelOpenAttempts(withResponse)
   return { state: { ...rest, phase: FlowPhase.Answered }, effects: [{ kind: FlowEffectKind.Answer, attemptId: event.attemptId }, ...effects] }
 }
 
--- a/packages/steering/test/common/request/requestFlow.test.ts
+++ b/packages/steering/test/common/request/requestFlow.test.ts
@@ -34,7 +34,7 @@
   consumedTokens = 0
   private state: FlowState
 
-  constructor (isIdempotent: boolean, private readonly budget: RetryBudget, private readonly isBodyWhole: boolean) {
+  constructor (isIdempotent: boolean, private readonly budget: RetryBudget, private readonly isBodyReplayable: boolean) {
     this.state = createFlow({ isIdempotent, maxAttempts: MAX_ATTEMPTS, deadline: DEADLINE_MS })
     this.applyEvent({ kind: FlowEventKind.Started }, 0)
   }
@@ -94,7 +94,7 @@
   }
 
   private buildContext (jitter: number): FlowView {
-    return { now: this.now, jitter, hasToken: this.budget.hasToken, hedgeSpan: 20, isBodyWhole: this.isBodyWhole || this.sentCount === 0, isBodyShared: this.isBodyWhole }
+    return { now: this.now, jitter, hasToken: this.budget.hasToken, hedgeSpan: 20, isBodyWhole: this.isBodyReplayable || this.sentCount === 0, isBodyShared: this.isBodyReplayable }
   }
 
   private runEffect (effect: FlowEffect): void {
@@ -128,13 +128,13 @@
   // Guards against a payment being sent to a second worker while the first one still runs it,
   // and against reporting `not-run` to the caller although a worker ran the request.
   it('runs requests that are not idempotent at most once, and reports not-run only if no attempt ran', () => {
-    fc.assert(fc.property(fc.boolean(), fc.boolean(), randomChoices, (isIdempotent, isBodyWhole, choices) => {
-      const simulation = new RequestSimulation(isIdempotent, new RetryBudget(0.5), isBodyWhole)
+    fc.assert(fc.property(fc.boolean(), fc.boolean(), randomChoices, (isIdempotent, isBodyReplayable, choices) => {
+      const simulation = new RequestSimulation(isIdempotent, new RetryBudget(0.5), isBodyReplayable)
       for (const [choice, detail] of choices) simulation.applyRandomEvent(choice, detail)
       assert.ok(simulation.endEffects.length <= 1, 'the request ended twice')
       assert.ok(simulation.sentCount <= MAX_ATTEMPTS)
       if (!isIdempotent) assert.ok(simulation.maxInFlight <= 1 && simulation.runCount <= 1)
-      if (!isBodyWhole) assert.ok(simulation.sentCount <= 1, 'a body that cannot be replayed was sent again')
+      if (!isBodyReplayable) assert.ok(simulation.sentCount <= 1, 'a body that cannot be replayed was sent again')
       const endEffect = simulation.endEffects[0]
       if (endEffect?.kind === FlowEffectKind.Refuse && endEffect.outcome === Outcome.NotRun) assert.equal(simulation.runCount, 0)
       if (endEffect !== undefined) {
@@ -180,10 +180,10 @@
     applyEvent({ kind: FlowEventKind.Started })
     failAttempt(0)
     const second = retry()
-    assert.deepEqual(second, { kind: FlowEffectKind.AcquireSlot, attemptId: 1, purpose: AttemptPurpose.Retry, wish: { preferred: 'klang-a', avoided: new Set(), excludedWorkers: new Set(['w0']) } })
+    assert.deepEqual(second, { kind: FlowEffectKind.AcquireSlot, attemptId: 1, purpose: AttemptPurpose.Retry, wish: { preferred: 'klang-a', avoided: new Set(), excludedWorkers: new Set(['w0']) } } satisfies FlowEffect)
     failAttempt(1)
     const third = retry()
-    assert.deepEqual(third, { kind: FlowEffectKind.AcquireSlot, attemptId: 2, purpose: AttemptPurpose.Retry, wish: { preferred: undefined, avoided: new Set(['klang-a']), excludedWorkers: new Set(['w0', 'w1']) } })
+    assert.deepEqual(third, { kind: FlowEffectKind.AcquireSlot, attemptId: 2, purpose: AttemptPurpose.Retry, wish: { preferred: undefined, avoided: new Set(['klang-a']), excludedWorkers: new Set(['w0', 'w1']) } } satisfies FlowEffect)
     assert.deepEqual(failAttempt(2).at(-1), { kind: FlowEffectKind.Refuse, outcome: Outcome.Unknown })
   })
 
