--- a/packages/base/src/common/clock.ts
+++ b/packages/base/src/common/clock.ts
@@ -1,27 +1,28 @@
 /**
- * Time as a port. Decisions never read the clock themselves: they get an
- * Instant; only adapters and the daemon's loop hold an IClock.
+ * The interface of clocks. Decisions never read a clock themselves, they receive an
+ * {@link Instant}; only adapters and the daemon's loop hold an {@link IClock}.
  */
 
-/** Milliseconds on the clock's own time line; compare only Instants of one clock. */
+/** Milliseconds since a starting point that differs from clock to clock; only instants of the same clock can be compared. */
 export type Instant = number
 
-/** A timer that has not fired yet. */
+/** A scheduled callback. */
 export interface ITimer {
+  /** Cancels the callback; does nothing once it was called. */
   close(): void
 }
 
-/** The source of time and of timers. */
+/** A source of time and timers. */
 export interface IClock {
-  /** @returns milliseconds on a time line that never goes back while the process lives */
+  /** @returns monotonic time in milliseconds, which never decreases while the process runs */
   now(): Instant
-  /** @returns milliseconds since 1970, for logs, leases and what people read; may jump */
+  /** @returns Unix time in milliseconds, for logs, leases and display; may jump in either direction */
   getWallTime(): number
   /**
-   * Calls once when an instant is reached.
-   * @param at when to call; an instant in the past calls in the next turn of the loop
-   * @param callback what to call
-   * @returns the timer, closed to cancel it
+   * Calls a function once when an instant is reached.
+   * @param at when to call it; for an instant in the past, in the next turn of the event loop
+   * @param callback the function to call
+   * @returns the timer; closing it cancels the call
    */
   schedule(at: Instant, callback: () => void): ITimer
 }
--- a/packages/base/src/common/closing.ts
+++ b/packages/base/src/common/closing.ts
@@ -1,28 +1,28 @@
-/** Ownership: whoever creates a resource closes it, explicitly and once. */
+/** Ownership of resources: the creator of a resource closes it explicitly and once. */
 
-/** Something that holds resources until closed. */
+/** An object that holds resources until it is closed. */
 export interface IClosable {
-  /** Gives up all that is held. A second call does nothing. */
+  /** Releases all held resources. A second call does nothing. */
   close(): void | Promise<void>
 }
 
-/** Owns several closables and closes them in the reverse order of their registration. */
+/** Owns several closables and closes them in the reverse order of their addition. */
 export class CloseStack implements IClosable {
-  private readonly owned: IClosable[] = []
+  private readonly closables: IClosable[] = []
   private closing: Promise<void> | undefined
 
   /**
-   * @param closable what this stack owns from now on
+   * @param closable the closable that this stack owns from now on
    * @returns the same closable
    */
   add<T extends IClosable> (closable: T): T {
-    this.owned.push(closable)
+    this.closables.push(closable)
     return closable
   }
 
   /**
-   * Closes everything, even if one of the owned fails to.
-   * @returns settled when all are closed; rejected with the first failure
+   * Closes all owned closables, even if closing one of them fails.
+   * @returns resolves when all are closed; rejects with the first error
    */
   close (): Promise<void> {
     this.closing ??= this.closeAll()
@@ -30,15 +30,15 @@
   }
 
   private async closeAll (): Promise<void> {
-    const failures: unknown[] = []
-    for (const closable of this.owned.reverse()) {
+    const errors: unknown[] = []
+    for (const closable of this.closables.reverse()) {
       try {
         await closable.close()
-      } catch (failure) {
-        failures.push(failure)
+      } catch (error) {
+        errors.push(error)
       }
     }
-    this.owned.length = 0
-    if (failures.length > 0) throw failures[0]
+    this.closables.length = 0
+    if (errors.length > 0) throw errors[0]
   }
 }
--- a/packages/base/src/common/detached.ts
+++ b/packages/base/src/common/detached.ts
@@ -1,14 +1,13 @@
-/** Work that nobody waits for. */
+/** Starts asynchronous work without waiting for it. */
 import { toStepError } from './errors.js'
 import { type ILogger, logError, LogLevel } from './logger.js'
 
 /**
- * Starts work without waiting. A rejection that nobody handles would end the
- * whole process and cut off every open request; here it becomes a log line.
- * @param work what to start
- * @param logger where a failure is logged
- * @param step the step named in that log line
- * @returns nothing; the work goes on
+ * Starts work without waiting for it, and logs its rejection. An unhandled rejection would
+ * terminate the process and abort every open request.
+ * @param work the work to start
+ * @param logger logs a rejection
+ * @param step the step named in the log line of a rejection
  */
 export function runDetached (work: () => Promise<unknown>, logger: ILogger, step: string): void {
   work().catch((thrown: unknown) => logError(logger, LogLevel.Error, toStepError(thrown, step, 'local')))
--- a/packages/base/src/common/elapsedClock.ts
+++ b/packages/base/src/common/elapsedClock.ts
@@ -1,36 +1,36 @@
 /**
- * A clock for bounds that must hold although the machine was suspended.
+ * A clock that includes the time for which the machine was suspended.
  *
- * Guards against this failure: the steady clock does not count a suspension, so
- * something that was learned before it looks new afterwards. The time of day does
- * count it, but may also be set. So each jump ahead of the time of day against the
- * steady clock is added: after a suspension this clock is right, after a change of
- * the time of day it is ahead, and spans measured by it are never too short.
+ * The monotonic clock stops during a suspension, so information from before a suspension would
+ * look fresh afterwards. The wall clock includes the suspension, but it can also be set. This
+ * clock therefore adds each forward jump of the wall clock relative to the monotonic clock. After
+ * a suspension it is accurate, after the wall clock was set forward it is ahead. Durations
+ * measured by it are never too short by more than {@link MIN_JUMP_MS}.
  */
 import type { IClock, Instant } from './clock.js'
 
-/** Smaller differences are added once they make up as much, in milliseconds. */
-const LEAST_JUMP_MS = 100
+/** Smaller jumps are added once they accumulate to this much. */
+const MIN_JUMP_MS = 100
 
-/** Counts suspensions; its instants are its own. */
+/** A monotonic clock that includes suspensions; its instants can't be compared with those of other clocks. */
 export class ElapsedClock {
-  private offsetMs: number
-  private addedMs = 0
+  private wallOffsetMs: number
+  private suspendedMs = 0
 
-  /** @param clock the machine's steady clock and time of day */
+  /** @param clock the machine's monotonic and wall clock */
   constructor (private readonly clock: IClock) {
-    this.offsetMs = clock.getWallTime() - clock.now()
+    this.wallOffsetMs = clock.getWallTime() - clock.now()
   }
 
-  /** @returns milliseconds on this clock's own time line */
+  /** @returns monotonic time in milliseconds, suspensions included */
   now (): Instant {
-    const steady = this.clock.now()
-    const offsetMs = this.clock.getWallTime() - steady
-    const jumpMs = offsetMs - this.offsetMs
-    if (Math.abs(jumpMs) >= LEAST_JUMP_MS) {
-      this.offsetMs = offsetMs
-      this.addedMs += Math.max(0, jumpMs)
+    const monotonicNow = this.clock.now()
+    const wallOffsetMs = this.clock.getWallTime() - monotonicNow
+    const jumpMs = wallOffsetMs - this.wallOffsetMs
+    if (Math.abs(jumpMs) >= MIN_JUMP_MS) {
+      this.wallOffsetMs = wallOffsetMs
+      this.suspendedMs += Math.max(0, jumpMs)
     }
-    return steady + this.addedMs
+    return monotonicNow + this.suspendedMs
   }
 }
--- a/packages/base/src/common/errors.ts
+++ b/packages/base/src/common/errors.ts
@@ -1,44 +1,44 @@
 /**
- * The error type of every package: it says at which step and with which peer
- * something failed, and what a caller of the function may do about it.
+ * The error type of all packages. It names the step and the peer at which something failed, and
+ * its code tells the caller how to react.
  */
 
-/** What kind of failure an error reports; handlers look their reaction up by it. */
+/** The kind of a failure; handlers choose their reaction by it. */
 export enum ErrorCode {
-  /** The input is malformed or breaks a rule; trying again unchanged is useless. */
+  /** The input is malformed or violates a rule; a retry with the same input fails again. */
   Invalid = 'invalid',
-  /** The thing asked for does not exist. */
+  /** The requested object does not exist. */
   NotFound = 'not-found',
-  /** Another write came first, or a version is stale. */
+  /** Another write was applied first, or the given version is stale. */
   Conflict = 'conflict',
-  /** A limit has no room; the same call may succeed later. */
+  /** A limit is reached; the same call may succeed later. */
   Exhausted = 'exhausted',
-  /** The peer could not be reached, and the call certainly had no effect. */
+  /** The peer could not be reached, and the call had no effect. */
   Unavailable = 'unavailable',
-  /** The answer was lost: the call may or may not have taken effect. */
+  /** The response was lost; the call may or may not have taken effect. */
   EffectUnknown = 'effect-unknown',
-  /** The deadline passed before the step could begin. */
+  /** The deadline passed before the step could start. */
   DeadlinePassed = 'deadline-passed',
-  /** The owner of the call gave it up. */
+  /** The call was cancelled by its owner. */
   Cancelled = 'cancelled',
-  /** The peer refused the call by its rules (authentication, role, drain). */
+  /** The peer refused the call because of its rules (authentication, role, drain). */
   Refused = 'refused',
-  /** A fault of this program. */
+  /** A bug in this program. */
   Internal = 'internal'
 }
 
-/** Where a StepError arose. */
+/** The content of a {@link StepError}. */
 export interface StepErrorDetails {
   readonly code: ErrorCode
   /** The step that failed, in lower-case words joined by hyphens, for example `read-head`. */
   readonly step: string
-  /** The other side: `host:port`, a node id, a file path, or `local`. */
+  /** The other party of the step: `host:port`, a node id, a file path, or `local`. */
   readonly peer: string
   readonly message: string
   readonly cause?: unknown
 }
 
-/** An error that names its step and its peer. */
+/** An error that names the failed step and the peer. */
 export class StepError extends Error {
   readonly code: ErrorCode
   readonly step: string
@@ -54,11 +54,11 @@
 }
 
 /**
- * Turns anything thrown into a StepError, and leaves a StepError as it is.
- * @param thrown what a `catch` received
+ * Converts any thrown value to a {@link StepError}; returns a StepError unchanged.
+ * @param thrown the value that was thrown
  * @param step the step that was running
- * @param peer the other side of that step
- * @returns an error with step and peer
+ * @param peer the other party of that step
+ * @returns the StepError itself, or a new one of code Internal with the thrown value as its cause
  */
 export function toStepError (thrown: unknown, step: string, peer: string): StepError {
   if (thrown instanceof StepError) return thrown
--- a/packages/base/src/common/logger.ts
+++ b/packages/base/src/common/logger.ts
@@ -1,7 +1,7 @@
-/** Logs as a port: structured events with step and peer, written as JSON lines by an adapter. */
+/** The interface of loggers: structured log lines with step and peer, which an adapter writes as JSON. */
 import type { StepError } from './errors.js'
 
-/** How urgent a log line is. */
+/** The severity of a log line. */
 export enum LogLevel {
   Debug = 'debug',
   Info = 'info',
@@ -9,11 +9,11 @@
   Error = 'error'
 }
 
-/** What a log line carries besides its message. */
+/** The fields of a log line besides its message. */
 export interface LogContext {
-  /** The step that ran, in lower-case words joined by hyphens. */
+  /** The step that was running, in lower-case words joined by hyphens. */
   readonly step: string
-  /** The other side of the step, or `local`. */
+  /** The other party of the step, or `local`. */
   readonly peer?: string
   readonly [field: string]: unknown
 }
@@ -21,15 +21,18 @@
 /** Writes log lines. */
 export interface ILogger {
   log(level: LogLevel, context: LogContext, message: string): void
-  /** @returns a logger that adds these fields to every line */
+  /**
+   * @param fields added to the context of every line
+   * @returns a logger that adds these fields
+   */
   createChild(fields: Readonly<Record<string, unknown>>): ILogger
 }
 
 /**
- * Logs a failure with its own step and peer.
- * @param logger where to write
- * @param level how urgent
- * @param error what failed
+ * Logs an error with its step, peer and code.
+ * @param logger the logger to write to
+ * @param level the severity of the log line
+ * @param error the error to log
  */
 export function logError (logger: ILogger, level: LogLevel, error: StepError): void {
   logger.log(level, { step: error.step, peer: error.peer, code: error.code }, error.message)
--- a/packages/base/src/common/manualClock.ts
+++ b/packages/base/src/common/manualClock.ts
@@ -1,4 +1,4 @@
-/** A clock that only moves when told to, so that tests of time give the same verdict on every run. */
+/** A clock that advances only when a test tells it to, which makes tests that depend on time deterministic. */
 import type { IClock, Instant, ITimer } from './clock.js'
 
 interface PendingTimer {
@@ -7,42 +7,42 @@
   readonly callback: () => void
 }
 
-/** Turns of the microtask queue between two timers, so that awaiting code goes on before the next one fires. */
+/** Turns of the microtask queue between two timers, so that code that awaits a promise continues before the next timer fires. */
 const MICROTASK_TURNS = 16
 
-/** An IClock moved by hand; its timers fire in the order of their instants, then of their scheduling. */
+/** An {@link IClock} that is advanced manually; timers fire in the order of their instants, timers of the same instant in the order of scheduling. */
 export class ManualClock implements IClock {
   private readonly pending = new Set<PendingTimer>()
   private nextSequence = 0
 
   /**
-   * @param current where the clock begins
-   * @param wallOffset what is added to `now` to give the wall time
+   * @param current the instant at which the clock starts
+   * @param wallOffsetMs the wall time minus `now`, in milliseconds
    */
-  constructor (private current: Instant = 0, private wallOffset = 0) {}
+  constructor (private current: Instant = 0, private wallOffsetMs = 0) {}
 
-  /** @returns the instant the clock was last moved to */
+  /** @returns the instant to which the clock was last advanced */
   now (): Instant {
     return this.current
   }
 
-  /** @returns the wall time that belongs to `now` */
+  /** @returns the wall time at `now` */
   getWallTime (): number {
-    return this.current + this.wallOffset
+    return this.current + this.wallOffsetMs
   }
 
   /**
-   * Lets the wall time jump without moving `now`.
-   * @param wallOffset what is added to `now` from here on
+   * Makes the wall time jump without changing `now`.
+   * @param wallOffsetMs the wall time minus `now` from now on, in milliseconds
    */
-  setWallOffset (wallOffset: number): void {
-    this.wallOffset = wallOffset
+  setWallOffset (wallOffsetMs: number): void {
+    this.wallOffsetMs = wallOffsetMs
   }
 
   /**
-   * @param at when to call; an instant in the past is due at the next move, also one by 0
-   * @param callback what to call
-   * @returns the timer, closed to cancel it
+   * @param at when to call the function; an instant in the past is due when the clock is next advanced, also by 0
+   * @param callback the function to call
+   * @returns the timer; closing it cancels the call
    */
   schedule (at: Instant, callback: () => void): ITimer {
     const timer: PendingTimer = { at, sequence: this.nextSequence++, callback }
@@ -50,7 +50,7 @@
     return { close: () => { this.pending.delete(timer) } }
   }
 
-  /** @returns how many timers have neither fired nor been closed */
+  /** @returns the number of timers that have neither fired nor been closed */
   countTimers (): number {
     return this.pending.size
   }
@@ -62,44 +62,44 @@
   }
 
   /**
-   * Moves the clock ahead, firing what falls due, including timers set meanwhile.
-   * @param spanMs how far, at least 0
+   * Advances the clock by a duration and fires the timers that become due, including timers that these schedule.
+   * @param durationMs how far to advance, in milliseconds, at least 0
    */
-  stepBy (spanMs: number): void {
-    this.stepTo(this.current + spanMs)
+  stepBy (durationMs: number): void {
+    this.stepTo(this.current + durationMs)
   }
 
   /**
-   * Moves the clock to an instant, firing what falls due on the way.
-   * @param target where to stop; an instant in the past moves nothing back
+   * Advances the clock to an instant and fires the timers that become due, including timers that these schedule.
+   * @param target the instant to advance to; an instant in the past does not move the clock back
    */
   stepTo (target: Instant): void {
-    let timer = this.takeDue(target)
+    let timer = this.takeNextDue(target)
     while (timer !== undefined) {
       timer.callback()
-      timer = this.takeDue(target)
+      timer = this.takeNextDue(target)
     }
     this.current = Math.max(this.current, target)
   }
 
   /**
-   * Like `stepBy`, but lets promises settle before and after each timer.
-   * @param spanMs how far, at least 0
-   * @returns settled when the clock stands at the target
+   * Like {@link stepBy}, but lets promises settle before and after each timer.
+   * @param durationMs how far to advance, in milliseconds, at least 0
+   * @returns resolves when the clock has been advanced
    */
-  async runFor (spanMs: number): Promise<void> {
-    const target = this.current + spanMs
+  async runFor (durationMs: number): Promise<void> {
+    const target = this.current + durationMs
     await this.settlePromises()
-    let timer = this.takeDue(target)
+    let timer = this.takeNextDue(target)
     while (timer !== undefined) {
       timer.callback()
       await this.settlePromises()
-      timer = this.takeDue(target)
+      timer = this.takeNextDue(target)
     }
     this.current = Math.max(this.current, target)
   }
 
-  private takeDue (target: Instant): PendingTimer | undefined {
+  private takeNextDue (target: Instant): PendingTimer | undefined {
     let first: PendingTimer | undefined
     for (const timer of this.pending) {
       if (timer.at > target) continue
--- a/packages/base/src/common/metrics.ts
+++ b/packages/base/src/common/metrics.ts
@@ -1,20 +1,20 @@
-/** Metrics as a port; the adapter sends them by StatsD. */
+/** The interface of metrics; an adapter sends them by StatsD. */
 import type { IClosable } from './closing.js'
 
-/** Labels of one measurement. */
+/** Labels of a measurement. */
 export type MetricTags = Readonly<Record<string, string>>
 
 /** Counts, gauges and timings. */
 export interface IMetrics extends IClosable {
-  /** Adds to a counter. */
+  /** Adds a value to a counter. */
   count(name: string, value: number, tags?: MetricTags): void
   /** Sets a gauge. */
   set(name: string, value: number, tags?: MetricTags): void
-  /** Records a span in milliseconds. */
-  observe(name: string, spanMs: number, tags?: MetricTags): void
+  /** Records a duration in milliseconds. */
+  observe(name: string, durationMs: number, tags?: MetricTags): void
 }
 
-/** Metrics that go nowhere. */
+/** Discards all measurements. */
 export const NULL_METRICS: IMetrics = {
   count: () => {},
   set: () => {},
--- a/packages/base/src/common/random.ts
+++ b/packages/base/src/common/random.ts
@@ -1,4 +1,4 @@
-/** Randomness as a port, so that every decision can be repeated from a seed. */
+/** The interface of random sources, so that decisions can be reproduced from a seed. */
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
 /** A source of random numbers. */
@@ -7,7 +7,7 @@
   next(): number
 }
 
-/** A repeatable source: the same seed gives the same numbers. */
+/** A deterministic source: the same seed gives the same numbers. */
 export class SeededRandom implements IRandomSource {
   private readonly generator
 
@@ -22,12 +22,12 @@
 }
 
 /**
- * Spreads a span so that many nodes do not act in the same instant.
- * @param random the source
- * @param span the middle, in any unit
- * @param fraction how far to spread to either side, 0 to 1
- * @returns a value from span × (1 − fraction) to span × (1 + fraction)
+ * Varies a duration at random, so that many nodes do not act at the same instant.
+ * @param random the random source
+ * @param duration the mean duration, in any unit
+ * @param fraction the largest deviation in either direction, as a fraction of the duration, 0 to 1
+ * @returns a value from duration × (1 − fraction) to duration × (1 + fraction)
  */
-export function addJitter (random: IRandomSource, span: number, fraction: number): number {
-  return span * (1 + fraction * (2 * random.next() - 1))
+export function addJitter (random: IRandomSource, duration: number, fraction: number): number {
+  return duration * (1 + fraction * (2 * random.next() - 1))
 }
--- a/packages/base/src/node/systemClock.ts
+++ b/packages/base/src/node/systemClock.ts
@@ -1,8 +1,8 @@
-/** The machine's clock: monotonic for deadlines, wall time only for people. */
+/** The clock of the machine: monotonic time for deadlines, wall time for display. */
 import type { IClock, Instant, ITimer } from '../common/clock.js'
 import { MAX_TIMER_MS } from '../common/deadline.js'
 
-/** An IClock over `performance.now` and `setTimeout`. */
+/** An {@link IClock} that uses `performance.now` and `setTimeout`. */
 export class SystemClock implements IClock {
   now (): Instant {
     return performance.now()
@@ -13,8 +13,8 @@
   }
 
   schedule (at: Instant, callback: () => void): ITimer {
-    const waitMs = Math.min(MAX_TIMER_MS, Math.max(0, at - performance.now()))
-    const timer = setTimeout(callback, waitMs)
+    const delayMs = Math.min(MAX_TIMER_MS, Math.max(0, at - performance.now()))
+    const timer = setTimeout(callback, delayMs)
     return { close: () => clearTimeout(timer) }
   }
 }
--- a/packages/base/test/common/elapsedClock.test.ts
+++ b/packages/base/test/common/elapsedClock.test.ts
@@ -6,10 +6,11 @@
 
 const SEED = 20261203
 
-describe('the clock that counts suspensions', () => {
-  it('counts a suspension, which the steady clock leaves out', () => {
-    // A machine was suspended for ten seconds. By its steady clock its records were as new
-    // as before, and it let requests run whose keys had been taken away meanwhile.
+describe('the clock that includes suspensions', () => {
+  it('includes a suspension, which the monotonic clock leaves out', () => {
+    // Guards against stale records that look fresh after a suspension: by the monotonic clock of a
+    // machine that was suspended for ten seconds its records were still up to date, and it
+    // accepted requests with API keys that had been revoked meanwhile.
     const clock = new ManualClock(1_000, 5_000_000)
     const elapsed = new ElapsedClock(clock)
     const before = elapsed.now()
@@ -18,25 +19,25 @@
     assert.equal(elapsed.now() - before, 10_200)
   })
 
-  it('never measures a span too short by more than its grain, and never goes back, however the time of day is set', () => {
+  it('measures no duration too short by more than its smallest jump and never goes back, however the wall clock is set', () => {
     const step = fc.record({ runMs: fc.nat(5_000), suspendMs: fc.nat(5_000), setMs: fc.integer({ min: -20_000, max: 20_000 }) })
     fc.assert(fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
       const clock = new ManualClock(0, 1_000_000)
       const elapsed = new ElapsedClock(clock)
-      let wallOffset = 1_000_000
-      let real = 0
-      let last = elapsed.now()
+      let wallOffsetMs = 1_000_000
+      let elapsedMs = 0
+      let lastReading = elapsed.now()
       for (const { runMs, suspendMs, setMs } of steps) {
         clock.stepBy(runMs)
-        wallOffset += suspendMs
-        clock.setWallOffset(wallOffset)
-        real += runMs + suspendMs
-        assert.ok(elapsed.now() >= last)
-        assert.ok(elapsed.now() >= real - 100, `${elapsed.now()} after ${real}`)
-        // Set after the suspension has shown, so that the two do not cancel out.
-        wallOffset += setMs
-        clock.setWallOffset(wallOffset)
-        last = elapsed.now()
+        wallOffsetMs += suspendMs
+        clock.setWallOffset(wallOffsetMs)
+        elapsedMs += runMs + suspendMs
+        assert.ok(elapsed.now() >= lastReading)
+        assert.ok(elapsed.now() >= elapsedMs - 100, `${elapsed.now()} after ${elapsedMs}`)
+        // Set the wall clock only after the suspension has been measured, so that the two jumps do not cancel out.
+        wallOffsetMs += setMs
+        clock.setWallOffset(wallOffsetMs)
+        lastReading = elapsed.now()
       }
     }), { seed: SEED })
   })
--- a/packages/base/test/common/manualClock.test.ts
+++ b/packages/base/test/common/manualClock.test.ts
@@ -3,22 +3,22 @@
 import fc from 'fast-check'
 import { ManualClock } from '../../src/common/manualClock.js'
 
-test('timers fire once, in the order of their instants and then of their scheduling', () => {
-  const instants = fc.array(fc.integer({ min: -5, max: 20 }), { maxLength: 30 })
-  fc.assert(fc.property(instants, fc.array(fc.integer({ min: 0, max: 7 }), { maxLength: 8 }), (ats, steps) => {
+test('timers fire once, in the order of their instants, and at the same instant in the order of scheduling', () => {
+  const instantsArbitrary = fc.array(fc.integer({ min: -5, max: 20 }), { maxLength: 30 })
+  fc.assert(fc.property(instantsArbitrary, fc.array(fc.integer({ min: 0, max: 7 }), { maxLength: 8 }), (instants, steps) => {
     const clock = new ManualClock()
     const fired: Array<{ at: number, index: number, now: number }> = []
-    ats.forEach((at, index) => clock.schedule(at, () => fired.push({ at, index, now: clock.now() })))
+    instants.forEach((at, index) => clock.schedule(at, () => fired.push({ at, index, now: clock.now() })))
     for (const step of steps) clock.stepBy(step)
     clock.stepTo(30)
-    const expected = ats.map((at, index) => ({ at, index })).sort((one, other) => one.at - other.at || one.index - other.index)
+    const expected = instants.map((at, index) => ({ at, index })).sort((one, other) => one.at - other.at || one.index - other.index)
     assert.deepEqual(fired.map(({ at, index }) => ({ at, index })), expected)
     assert.ok(fired.every(({ at, now }) => now === Math.max(0, at)))
     assert.equal(clock.countTimers(), 0)
   }), { seed: 11, numRuns: 200 })
 })
 
-test('a timer set by a timer fires in the same move if it is due, and a closed one never', async () => {
+test('a timer scheduled by a timer fires in the same advance if it is due, and a closed timer never fires', async () => {
   const clock = new ManualClock()
   const fired: string[] = []
   const closed = clock.schedule(4, () => fired.push('closed'))
--- a/packages/base/test/node/roarrLogger.test.ts
+++ b/packages/base/test/node/roarrLogger.test.ts
@@ -3,9 +3,9 @@
 import { LogLevel } from '../../src/common/logger.js'
 import { createRoarrLogger } from '../../src/node/roarrLogger.js'
 
-// An operator starts a daemon with a wrong settings file: it ends with exit code 2
-// and not a word, because roarr stays silent unless the environment turns it on.
-test('lines are written without any environment variable, as JSON, from the lowest level on', () => {
+// Guards against a daemon that logs nothing because roarr is disabled unless an environment
+// variable enables it: with an invalid settings file it exited with code 2 without a message.
+test('lines from the lowest level on are written as JSON without any environment variable', () => {
   const lines: string[] = []
   const logger = createRoarrLogger(LogLevel.Info, (line) => { lines.push(line) }).createChild({ node: 'entry-1' })
   logger.log(LogLevel.Debug, { step: 'a' }, 'unseen')
