--- a/packages/steering/src/common/workers/chooseWorker.ts
+++ b/packages/steering/src/common/workers/chooseWorker.ts
@@ -1,61 +1,60 @@
 /**
- * The choice of a worker: the better of two at random (power of two choices), by
- * our own requests in flight, the load that workers report, how long they take to
- * answer, and slow start.
+ * Chooses a worker for a request: two are drawn at random and the one with the lower
+ * score wins (power of two choices). The score combines this VM's requests in flight,
+ * the load that the worker reports, its response times and its slow start.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { hasPassed } from '@umberspar/base/common/deadline'
 import type { IRandomSource } from '@umberspar/base/common/random'
-import { isOnTrial } from './ejection.js'
+import { isOnProbation } from './ejection.js'
 import type { WorkerState } from './workerState.js'
 
-/** A load report counts half after so many milliseconds. */
 const LOAD_HALF_LIFE_MS = 1_000
 /**
- * How far a report may lift or sink a worker from the median of its place. A
- * worker that claims to be idle, or full, thus gains or loses no more than this
- * part of its slots; beyond that our own requests in flight decide, which no
- * worker can misreport.
+ * Limits how far a worker's reported load may differ from the median of all candidates.
+ * A worker that wrongly reports to be idle or full gains or loses at most this fraction
+ * of its slots. Beyond that the requests in flight decide, which this VM counts itself
+ * and no worker can misreport.
  */
-const MAX_REPORTED_DIFFERENCE = 0.5
+const MAX_REPORTED_LOAD_DEVIATION_RATIO = 0.5
 /**
- * The part of choices that leave reports aside. With little load even the bounded
- * difference decides every comparison; a good worker that claims to be full would
- * get nothing at all.
+ * The fraction of choices that ignore load reports. Under low load even the limited
+ * deviation would decide every comparison, and a healthy worker that reports to be
+ * full would receive no requests.
  */
-const UNREPORTED_PART = 0.2
-/** A worker is rated down for its answer times by no more than this factor. */
-const MAX_SLOWNESS = 8
-/** Without answers, a worker's slowness counts half after so many milliseconds. */
-const SLOWNESS_HALF_LIFE_MS = 5_000
-/** The weight with which a cold worker begins. */
-const LEAST_WARMTH = 0.1
+const CHOICES_IGNORING_REPORTS_RATIO = 0.2
+/** The largest factor by which slow responses raise a worker's score. */
+const MAX_LATENCY_PENALTY = 8
+/** Without new responses the penalty decays, so that a worker that was slow is tried again. */
+const LATENCY_PENALTY_HALF_LIFE_MS = 5_000
+/** The fraction of its full weight at which a cold worker starts. */
+const MIN_WARM_UP_RATIO = 0.1
 
-const NOTHING_EXCLUDED: ReadonlySet<string> = new Set()
+const NO_EXCLUDED_WORKERS: ReadonlySet<string> = new Set()
 
-/** The part of a worker's full weight that it has reached while warming up. */
-function computeWarmth (worker: WorkerState, now: Instant): number {
+/** Computes the fraction of its full weight that a worker has reached in its warm-up, 1 after it. */
+function computeWarmUpRatio (worker: WorkerState, now: Instant): number {
   if (hasPassed(worker.warmUpUntil, now)) return 1
-  const part = (now - worker.warmUpFrom) / (worker.warmUpUntil - worker.warmUpFrom)
-  return Math.max(LEAST_WARMTH, Math.min(1, part))
+  const elapsedRatio = (now - worker.warmUpStartedAt) / (worker.warmUpUntil - worker.warmUpStartedAt)
+  return Math.max(MIN_WARM_UP_RATIO, Math.min(1, elapsedRatio))
 }
 
-/** What is usual in a place; single workers are judged by how they differ from it. */
-export interface PlaceMedians {
-  /** Of what workers report, each bounded to 0 to 1; 0 counts for those without a report. */
+/** Medians over the workers of a service in one failure domain; each worker is scored relative to them. */
+export interface WorkerMedians {
+  /** Reported utilization, clamped to 0 to 1; a worker without a report counts as 0. */
   readonly load: number
-  /** Of how long they take to begin an answer, in milliseconds; 0 if no answer came yet. */
-  readonly answerMs: number
+  /** Time until a response starts, in milliseconds; 0 before the first response. */
+  readonly responseTimeMs: number
 }
 
 /**
- * @param workers the workers of a place
- * @returns what is usual among them
+ * @param workers the workers of a service in one failure domain
+ * @returns the medians of their load and response times
  */
-export function computeMedians (workers: readonly WorkerState[]): PlaceMedians {
+export function computeWorkerMedians (workers: readonly WorkerState[]): WorkerMedians {
   return {
     load: computeMedian(workers.map(({ load }) => Math.min(1, Math.max(0, load?.utilization ?? 0)))),
-    answerMs: computeMedian(workers.flatMap(({ answerTime }) => answerTime?.meanMs ?? []))
+    responseTimeMs: computeMedian(workers.flatMap(({ answerTime }) => answerTime?.meanMs ?? []))
   }
 }
 
@@ -67,77 +66,76 @@
 }
 
 /**
- * How many times slower than usual a worker answers. One that is faster gains
- * nothing by it: answers that come at once may be worth nothing. Without answers
- * the judgement fades, so that a slow worker is tried again.
+ * Computes how many times slower than the median a worker responds. A faster worker gets
+ * no bonus, as responses that come at once may be errors.
  */
-function computeSlowness ({ answerTime }: WorkerState, now: Instant, answerMs: number): number {
-  if (answerTime === undefined || answerMs === 0) return 1
+function computeLatencyPenalty ({ answerTime }: WorkerState, now: Instant, medianMs: number): number {
+  if (answerTime === undefined || medianMs === 0) return 1
   const ageMs = Math.max(0, now - answerTime.updatedAt)
-  const excess = Math.min(MAX_SLOWNESS, Math.max(1, answerTime.meanMs / answerMs)) - 1
-  return 1 + excess * 2 ** (-ageMs / SLOWNESS_HALF_LIFE_MS)
+  const excess = Math.min(MAX_LATENCY_PENALTY, Math.max(1, answerTime.meanMs / medianMs)) - 1
+  return 1 + excess * 2 ** (-ageMs / LATENCY_PENALTY_HALF_LIFE_MS)
 }
 
-/** An old report, or none, counts as the median: a silent worker must not look idle. */
+/** Lets a report decay toward the median; without one the median counts, so that a worker that reports nothing doesn't look idle. */
 function computeReportedLoad (worker: WorkerState, now: Instant, median: number): number {
   if (worker.load === undefined) return median
   const ageMs = Math.max(0, now - worker.load.takenAt)
   const difference = Math.min(1, Math.max(0, worker.load.utilization)) - median
-  const bounded = Math.min(MAX_REPORTED_DIFFERENCE, Math.max(-MAX_REPORTED_DIFFERENCE, difference))
-  return median + bounded * 2 ** (-ageMs / LOAD_HALF_LIFE_MS)
+  const boundedDifference = Math.min(MAX_REPORTED_LOAD_DEVIATION_RATIO, Math.max(-MAX_REPORTED_LOAD_DEVIATION_RATIO, difference))
+  return median + boundedDifference * 2 ** (-ageMs / LOAD_HALF_LIFE_MS)
 }
 
 /**
- * Rates a worker with one more request: our part of its slots in use, plus what
- * it reported, for as much longer as it takes to answer, divided by how warm it is.
+ * Scores a worker as if it had one more request: the fraction of this VM's slots in use
+ * plus the reported load, multiplied by the latency penalty and divided by the warm-up ratio.
  * @param worker the worker
- * @param now the present
- * @param medians what is usual in its place
+ * @param now the current time
+ * @param medians the medians of all candidates
  * @returns the score; lower is better
  */
-export function computeScore (worker: WorkerState, now: Instant, medians: PlaceMedians): number {
-  const own = (worker.inFlight + 1) / worker.slots
-  const load = own + computeReportedLoad(worker, now, medians.load)
-  return load * computeSlowness(worker, now, medians.answerMs) / computeWarmth(worker, now)
+export function computeScore (worker: WorkerState, now: Instant, medians: WorkerMedians): number {
+  const ownUtilization = (worker.inFlight + 1) / worker.slots
+  const load = ownUtilization + computeReportedLoad(worker, now, medians.load)
+  return load * computeLatencyPenalty(worker, now, medians.responseTimeMs) / computeWarmUpRatio(worker, now)
 }
 
 function isEligible (worker: WorkerState, now: Instant, excluded: ReadonlySet<string>): boolean {
   if (worker.isDraining || worker.inFlight >= worker.slots) return false
   if (!hasPassed(worker.ejectedUntil, now) || excluded.has(worker.workerId)) return false
-  // One request finds out whether the worker is well again; more would fail with it.
-  return worker.inFlight === 0 || !isOnTrial(worker, now)
+  // On probation one request shows whether the worker has recovered; others would fail with it.
+  return worker.inFlight === 0 || !isOnProbation(worker, now)
 }
 
 /**
  * Chooses a worker for one request.
  * @param candidates the workers of a service in one failure domain
- * @param now the present
- * @param random a seeded source
- * @param excluded workers that this request has tried
- * @returns a worker's id, or undefined if none may take the request now
+ * @param now the current time
+ * @param random the source of random numbers
+ * @param excluded ids of workers that this request has already tried
+ * @returns a worker's id, or undefined if no worker can take the request now
  */
 export function chooseWorker (
   candidates: readonly WorkerState[],
   now: Instant,
   random: IRandomSource,
-  excluded: ReadonlySet<string> = NOTHING_EXCLUDED
+  excluded: ReadonlySet<string> = NO_EXCLUDED_WORKERS
 ): string | undefined {
   const eligible = candidates.filter((worker) => isEligible(worker, now, excluded))
   if (eligible.length < 2) return eligible[0]?.workerId
   const firstIndex = Math.floor(random.next() * eligible.length)
-  // The second is drawn from the others, so that both always differ.
+  // An offset below the length never returns to the first worker, so the two always differ.
   const step = 1 + Math.floor(random.next() * (eligible.length - 1))
   const first = eligible[firstIndex] as WorkerState
   const second = eligible[(firstIndex + step) % eligible.length] as WorkerState
-  const medians = computeMedians(candidates)
-  if (random.next() < UNREPORTED_PART) return compareWorkers(removeLoad(first), removeLoad(second), now, medians)
-  return compareWorkers(first, second, now, medians)
+  const medians = computeWorkerMedians(candidates)
+  if (random.next() < CHOICES_IGNORING_REPORTS_RATIO) return chooseBetterWorker(removeLoadReport(first), removeLoadReport(second), now, medians)
+  return chooseBetterWorker(first, second, now, medians)
 }
 
-function compareWorkers (first: WorkerState, second: WorkerState, now: Instant, medians: PlaceMedians): string {
+function chooseBetterWorker (first: WorkerState, second: WorkerState, now: Instant, medians: WorkerMedians): string {
   return computeScore(second, now, medians) < computeScore(first, now, medians) ? second.workerId : first.workerId
 }
 
-function removeLoad (worker: WorkerState): WorkerState {
+function removeLoadReport (worker: WorkerState): WorkerState {
   return { ...worker, load: undefined }
 }
--- a/packages/steering/src/common/workers/ejection.ts
+++ b/packages/steering/src/common/workers/ejection.ts
@@ -1,127 +1,128 @@
 /**
- * Ejection keeps away from workers that fail again and again; a floor keeps it
- * from emptying a domain when the fault lies on our side. An ejected worker comes
- * back on trial: one request at a time, until one is answered whole.
+ * Outlier ejection: stops sending requests to workers that fail repeatedly. At most a
+ * fixed fraction of a failure domain's workers is ejected, so that a fault on this VM's
+ * side doesn't empty the domain. An ejected worker returns on probation: it gets one
+ * request at a time until one gets a complete response.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, hasPassed } from '@umberspar/base/common/deadline'
-import { LONG_PAST, type MutableWorkerState, type WorkerPolicy, type WorkerState } from './workerState.js'
+import { DISTANT_PAST, type MutableWorkerState, type WorkerPolicy, type WorkerState } from './workerState.js'
 
-/** The greatest part of a domain's workers that may be ejected at a time. */
-const MAX_EJECTED_PART = 0.5
-/** How much the newest request counts in the moving mean of failures. */
-const RATE_GAIN = 0.1
-/** A worker that fails this part of its requests is ejected although answers come in between. */
-const RATE_TO_EJECT = 0.5
-/** The mean says nothing before so many requests. */
-const LEAST_RATED = 10
-/** Failed probes in a row that eject a worker of which no request tells anything. */
-const PROBE_FAILURES_TO_EJECT = 3
+const MAX_EJECTED_RATIO = 0.5
+/** The weight of the latest request in the moving average of failures. */
+const FAILURE_RATE_SMOOTHING_RATIO = 0.1
+/** Ejects a worker that fails this fraction of its requests, although successes in between reset its consecutive failures. */
+const MIN_FAILURE_RATIO_TO_EJECT = 0.5
+/** The moving average isn't meaningful before this many requests. */
+const MIN_REQUESTS_FOR_FAILURE_RATE = 10
+/** Consecutive failed probes that eject a worker without recent responses. */
+const MIN_PROBE_FAILURES_TO_EJECT = 3
 /**
- * Whoever answered whole within this is not ejected for its probes: a health
- * endpoint may be broken or lie while the worker serves well.
+ * Failed probes are ignored for this long after a complete response: a worker's health
+ * endpoint may be broken while the worker serves requests well.
  */
-const ANSWER_OUTWEIGHS_PROBES_SPAN_MS = 5_000
+const RESPONSE_OVERRIDES_PROBES_MS = 5_000
 
-type States = ReadonlyMap<string, MutableWorkerState>
+type WorkerStates = ReadonlyMap<string, MutableWorkerState>
 
 /**
- * @param state a worker
- * @param now the present
- * @returns whether its ejection is over but no answer has proved it well yet
+ * @param state the worker
+ * @param now the current time
+ * @returns whether its ejection has ended but it has not given a complete response since
  */
-export function isOnTrial (state: WorkerState, now: Instant): boolean {
+export function isOnProbation (state: WorkerState, now: Instant): boolean {
   return state.ejectionsInRow > 0 && hasPassed(state.ejectedUntil, now)
 }
 
 /**
- * @param states a domain's workers
- * @param now the present
- * @returns those that are ejected; draining ones take no work and do not count
+ * @param states the workers of a service in one failure domain
+ * @param now the current time
+ * @returns the ejected workers, without draining ones, which take no requests anyway
  */
-export function listEjected (states: States, now: Instant): MutableWorkerState[] {
+export function listEjectedWorkers (states: WorkerStates, now: Instant): MutableWorkerState[] {
   return [...states.values()].filter((state) => !state.isDraining && !hasPassed(state.ejectedUntil, now))
 }
 
 /**
- * Where workers left or drain, fewer may be ejected; those whose ejection ends
- * first come back.
- * @param states a domain's workers
- * @param now the present
+ * Ends ejections that exceed the limit after workers were removed or began to drain,
+ * beginning with those that would end first.
+ * @param states the workers of a service in one failure domain
+ * @param now the current time
  */
-export function releaseBeyondFloor (states: States, now: Instant): void {
-  const ejected = listEjected(states, now).sort((left, right) => left.ejectedUntil - right.ejectedUntil)
-  const surplus = Math.max(0, ejected.length - computeMostEjected(states))
-  for (const state of ejected.slice(0, surplus)) state.ejectedUntil = LONG_PAST
+export function endExcessEjections (states: WorkerStates, now: Instant): void {
+  const ejected = listEjectedWorkers(states, now).sort((left, right) => left.ejectedUntil - right.ejectedUntil)
+  const excess = Math.max(0, ejected.length - computeMaxEjected(states))
+  for (const state of ejected.slice(0, excess)) state.ejectedUntil = DISTANT_PAST
 }
 
 /**
- * @param state the worker that answered a request whole
- * @param now the present
+ * Records a complete response, which ends the worker's ejection and probation.
+ * @param state the worker that responded
+ * @param now when it responded; -Infinity if failed probes should still count
  */
 export function recordSuccess (state: MutableWorkerState, now: Instant): void {
-  state.failuresInRow = 0
+  state.consecutiveFailures = 0
   state.ejectionsInRow = 0
-  state.ejectedUntil = LONG_PAST
-  state.probeFailuresInRow = 0
+  state.ejectedUntil = DISTANT_PAST
+  state.consecutiveProbeFailures = 0
   state.unreachableSince = undefined
   state.answeredAt = Math.max(state.answeredAt, now)
-  recordRate(state, false)
+  updateFailureRate(state, false)
 }
 
 /**
- * Counts a failed request and ejects after too many in a row, after too many on
- * average, or after one on trial.
- * @param states the domain's workers
+ * Records a failed request. Ejects the worker after too many consecutive failures, at too
+ * high a failure rate, or after one failure on probation.
+ * @param states the workers of a service in one failure domain
  * @param state the worker that failed
- * @param policy when to eject, and for how long
- * @param now the present
+ * @param policy when to eject and for how long
+ * @param now the current time
  */
-export function recordFailure (states: States, state: MutableWorkerState, policy: WorkerPolicy, now: Instant): void {
-  state.failuresInRow++
-  recordRate(state, true)
-  const isFailingOften = state.rated >= LEAST_RATED && state.failureRate >= RATE_TO_EJECT
-  if (state.failuresInRow < policy.failuresToEject && !isFailingOften && !isOnTrial(state, now)) return
+export function recordFailure (states: WorkerStates, state: MutableWorkerState, policy: WorkerPolicy, now: Instant): void {
+  state.consecutiveFailures++
+  updateFailureRate(state, true)
+  const isFailingOften = state.failureRateSamples >= MIN_REQUESTS_FOR_FAILURE_RATE && state.failureRate >= MIN_FAILURE_RATIO_TO_EJECT
+  if (state.consecutiveFailures < policy.failuresToEject && !isFailingOften && !isOnProbation(state, now)) return
   startEjection(states, state, policy, now)
 }
 
 /**
- * Counts a failed probe. It ejects only a worker of which no request tells
- * better; on trial the request decides, not the probe.
- * @param states the domain's workers
- * @param state the worker
+ * Records a failed probe. Probes eject only workers without a recent complete response.
+ * On probation they don't eject: there the outcome of the next request decides.
+ * @param states the workers of a service in one failure domain
+ * @param state the worker whose probe failed
  * @param policy for how long to eject
- * @param now the present
+ * @param now the current time
  */
-export function recordProbeFailure (states: States, state: MutableWorkerState, policy: WorkerPolicy, now: Instant): void {
-  if (now - state.answeredAt < ANSWER_OUTWEIGHS_PROBES_SPAN_MS) return
+export function recordProbeFailure (states: WorkerStates, state: MutableWorkerState, policy: WorkerPolicy, now: Instant): void {
+  if (now - state.answeredAt < RESPONSE_OVERRIDES_PROBES_MS) return
   state.unreachableSince ??= now
-  state.probeFailuresInRow++
-  if (state.probeFailuresInRow < PROBE_FAILURES_TO_EJECT || isOnTrial(state, now)) return
+  state.consecutiveProbeFailures++
+  if (state.consecutiveProbeFailures < MIN_PROBE_FAILURES_TO_EJECT || isOnProbation(state, now)) return
   startEjection(states, state, policy, now)
 }
 
-function startEjection (states: States, state: MutableWorkerState, policy: WorkerPolicy, now: Instant): void {
+function startEjection (states: WorkerStates, state: MutableWorkerState, policy: WorkerPolicy, now: Instant): void {
   if (!hasPassed(state.ejectedUntil, now)) return
-  if (!state.isDraining && listEjected(states, now).length + 1 > computeMostEjected(states)) return
-  const spanMs = policy.ejectionSpanMs * 2 ** state.ejectionsInRow
-  state.ejectedUntil = createDeadline(now, Math.min(spanMs, policy.longestEjectionSpanMs))
+  if (!state.isDraining && listEjectedWorkers(states, now).length + 1 > computeMaxEjected(states)) return
+  const durationMs = policy.firstEjectionMs * 2 ** state.ejectionsInRow
+  state.ejectedUntil = createDeadline(now, Math.min(durationMs, policy.maxEjectionMs))
   state.ejectionsInRow++
-  state.failuresInRow = 0
-  state.probeFailuresInRow = 0
+  state.consecutiveFailures = 0
+  state.consecutiveProbeFailures = 0
   state.failureRate = 0
-  state.rated = 0
+  state.failureRateSamples = 0
 }
 
-function recordRate (state: MutableWorkerState, isFailure: boolean): void {
-  state.failureRate += RATE_GAIN * (Number(isFailure) - state.failureRate)
-  state.rated++
+function updateFailureRate (state: MutableWorkerState, isFailure: boolean): void {
+  state.failureRate += FAILURE_RATE_SMOOTHING_RATIO * (Number(isFailure) - state.failureRate)
+  state.failureRateSamples++
 }
 
-function computeMostEjected (states: States): number {
+function computeMaxEjected (states: WorkerStates): number {
   let count = 0
   for (const state of states.values()) {
     if (!state.isDraining) count++
   }
-  return Math.floor(count * MAX_EJECTED_PART)
+  return Math.floor(count * MAX_EJECTED_RATIO)
 }
--- a/packages/steering/src/common/workers/workerState.ts
+++ b/packages/steering/src/common/workers/workerState.ts
@@ -1,90 +1,90 @@
-/** What one entry VM knows of one worker, and how it judges workers. */
+/** The state that one entry VM keeps about a worker, and the policy of warm-up and ejection. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { Deadline } from '@umberspar/base/common/deadline'
 
-/** How workers are judged. Spans in milliseconds. */
+/** How workers are warmed up and ejected; durations in milliseconds. */
 export interface WorkerPolicy {
-  /** A worker that starts cold comes to full weight over this. */
+  /** How long a cold worker takes to reach its full weight. */
   readonly warmUpSpanMs: number
-  /** Failures in a row that eject a worker. */
+  /** Consecutive failed requests that eject a worker. */
   readonly failuresToEject: number
-  /** How long the first ejection lasts; each further one in a row twice as long. */
-  readonly ejectionSpanMs: number
-  readonly longestEjectionSpanMs: number
+  /** Each further ejection without a complete response in between lasts twice as long. */
+  readonly firstEjectionMs: number
+  readonly maxEjectionMs: number
 }
 
-/** Used where nothing else is configured. */
 export const DEFAULT_WORKER_POLICY: WorkerPolicy = {
   warmUpSpanMs: 10_000,
   failuresToEject: 5,
-  ejectionSpanMs: 5_000,
-  longestEjectionSpanMs: 60_000
+  firstEjectionMs: 5_000,
+  maxEjectionMs: 60_000
 }
 
-/** An instant before all others. */
-export const LONG_PAST: Instant = -Infinity
+/** Earlier than every other instant. */
+export const DISTANT_PAST: Instant = -Infinity
 
-/** What a worker said of its load. */
+/** The load that a worker reported. */
 export interface LoadReport {
-  /** 0 idle to 1 full; above 1 overloaded. */
+  /** From 0 (idle) to 1 (full); above 1 if overloaded. */
   readonly utilization: number
-  /** When the worker measured it, by our clock. */
+  /** When the worker measured it, on this VM's clock. */
   readonly takenAt: Instant
 }
 
-/** How long a worker takes to begin its answers, as we see it. */
-export interface AnswerTime {
-  /** Moving mean, in milliseconds. */
+/** How long a worker takes to start a response, as measured by this VM. */
+export interface ResponseTime {
+  /** Moving average in milliseconds. */
   readonly meanMs: number
   readonly updatedAt: Instant
 }
 
-/** One worker as this entry VM sees it. */
+/** The state of one worker as known to this entry VM. */
 export interface WorkerState {
   readonly workerId: string
-  /** `host:port`. */
+  /** `host:port` */
   readonly address: string
-  /** Our part of its slots. */
+  /** The slots for concurrent requests at this worker that are assigned to this VM. */
   readonly slots: number
-  /** Our own requests at it. */
+  /** This VM's requests in flight at the worker. */
   readonly inFlight: number
   readonly load: LoadReport | undefined
-  readonly answerTime: AnswerTime | undefined
-  /** When the warm-up began and when it ends. */
-  readonly warmUpFrom: Instant
+  readonly answerTime: ResponseTime | undefined
+
+  readonly warmUpStartedAt: Instant
   readonly warmUpUntil: Deadline
-  /** When it began to call itself starting; undefined while it does not. */
+  /** When its probes began to report that it is starting; undefined if the latest doesn't. */
   readonly startingSince: Instant | undefined
-  readonly failuresInRow: number
-  /** Moving mean over requests: 0 none fails, 1 all fail. */
+  readonly consecutiveFailures: number
+  /** Moving average over requests, from 0 (none fails) to 1 (all fail). */
   readonly failureRate: number
-  /** Requests that went into `failureRate`. */
-  readonly rated: number
+  /** How many requests `failureRate` is based on. */
+  readonly failureRateSamples: number
+  /** Ejections since the last complete response. */
   readonly ejectionsInRow: number
-  /** Not chosen before this. */
+  /** The worker gets no requests before this time. */
   readonly ejectedUntil: Deadline
-  /** When it last gave a whole answer. */
+  /** When it last gave a complete response. */
   readonly answeredAt: Instant
-  readonly probeFailuresInRow: number
-  /** Since when neither probe nor answer came; undefined while one does. */
+  readonly consecutiveProbeFailures: number
+  /** When probes began to fail without a recent complete response; undefined after a success of either. */
   readonly unreachableSince: Instant | undefined
-  /** The worker's own word that it drains, and when it was last heard. */
+  /** Whether the worker itself reports that it drains, and when it last reported this or the contrary. */
   readonly isDrainAnnounced: boolean
   readonly drainHeardAt: Instant
-  /** The platform's word that its VM leaves. */
+  /** Whether the platform reports that the worker's VM is being removed. */
   readonly isVmLeaving: boolean
-  /** Takes no new request, by its own or the platform's word. */
+  /** Whether it takes no new requests, for either of these reasons. */
   readonly isDraining: boolean
 }
 
-/** The same, for its table. */
+/** The writable form of {@link WorkerState}. */
 export type MutableWorkerState = { -readonly [Field in keyof WorkerState]: WorkerState[Field] }
 
 /**
  * @param workerId the worker's id
  * @param address `host:port`
- * @param slots our part of its slots
- * @returns a worker of which nothing else is known: warm, idle and healthy
+ * @param slots the slots that are assigned to this VM
+ * @returns the state of a worker that is warm, idle and healthy
  */
 export function createWorkerState (workerId: string, address: string, slots: number): MutableWorkerState {
   return {
@@ -94,19 +94,19 @@
     inFlight: 0,
     load: undefined,
     answerTime: undefined,
-    warmUpFrom: LONG_PAST,
-    warmUpUntil: LONG_PAST,
+    warmUpStartedAt: DISTANT_PAST,
+    warmUpUntil: DISTANT_PAST,
     startingSince: undefined,
-    failuresInRow: 0,
+    consecutiveFailures: 0,
     failureRate: 0,
-    rated: 0,
+    failureRateSamples: 0,
     ejectionsInRow: 0,
-    ejectedUntil: LONG_PAST,
-    answeredAt: LONG_PAST,
-    probeFailuresInRow: 0,
+    ejectedUntil: DISTANT_PAST,
+    answeredAt: DISTANT_PAST,
+    consecutiveProbeFailures: 0,
     unreachableSince: undefined,
     isDrainAnnounced: false,
-    drainHeardAt: LONG_PAST,
+    drainHeardAt: DISTANT_PAST,
     isVmLeaving: false,
     isDraining: false
   }
--- a/packages/steering/src/common/workers/workerTable.ts
+++ b/packages/steering/src/common/workers/workerTable.ts
@@ -1,81 +1,80 @@
-/** What one entry VM knows of the workers of one service in one failure domain. */
+/** Tracks the state of the workers of one service in one failure domain, as seen by one entry VM. */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline } from '@umberspar/base/common/deadline'
-import { listEjected, recordFailure, recordProbeFailure, recordSuccess, releaseBeyondFloor } from './ejection.js'
+import { listEjectedWorkers, recordFailure, recordProbeFailure, recordSuccess, endExcessEjections } from './ejection.js'
 import { createWorkerState, DEFAULT_WORKER_POLICY, type LoadReport, type MutableWorkerState, type WorkerPolicy, type WorkerState } from './workerState.js'
 
 export { DEFAULT_WORKER_POLICY } from './workerState.js'
 export type { LoadReport, WorkerPolicy, WorkerState } from './workerState.js'
 
 /**
- * A word that a drain is over must be so much newer than the word that it began.
- * What peers tell carries its age but not its time on the way; an older "ready"
- * that travelled long would otherwise look newer than a drain heard directly.
+ * A report that a drain has ended must be this much newer than the report that it began.
+ * Reports from peers carry their age without the transit time, so a delayed, outdated
+ * "ready" could otherwise look newer than a drain that the worker reported directly.
  */
-const DRAIN_WITHDRAWN_MARGIN_MS = 1_000
-/** A worker that was out of reach for so long has been started anew when it comes back. */
-const RESTART_SPAN_MS = 3_000
+const DRAIN_END_MARGIN_MS = 1_000
+/** A worker that was unreachable for this long is assumed to have restarted. */
+const MIN_RESTART_OUTAGE_MS = 3_000
 
-/** How much the newest answer counts in the moving mean of answer times. */
-const ANSWER_TIME_GAIN = 0.1
+/** The weight of the latest response in the moving average of response times. */
+const RESPONSE_TIME_SMOOTHING_RATIO = 0.1
 
-/** A worker to know of. */
-export interface KnownWorker {
+/** A configured worker with the slots that are assigned to this VM. */
+export interface WorkerAssignment {
   readonly address: string
-  /** Our part of its slots; changes apply at once, requests in flight stay. */
+  /** A change takes effect at once, without interrupting requests in flight. */
   readonly slots: number
 }
 
 /** The workers of one service in one failure domain. */
 export class WorkerTable {
   private readonly states = new Map<string, MutableWorkerState>()
-  /** Taken out of the configuration while requests of ours were open there. */
+  /** Workers that were removed from the configuration while this VM had requests in flight there. */
   private readonly removed = new Map<string, MutableWorkerState>()
-  private hasWorkers = false
+  private hasHadWorkers = false
 
-  /** @param policy how workers are judged */
+  /** @param policy how workers are warmed up and ejected */
   constructor (private readonly policy: WorkerPolicy = DEFAULT_WORKER_POLICY) {}
 
   /**
-   * Takes the workers from the configuration and our parts of them; what is
-   * known of a worker that stays is kept. A worker that is new beside known ones
-   * starts cold. In a table's first update all are new to us only: the entry VM
-   * has just started, the workers have not.
+   * Applies the configured workers and their assigned slots; workers that remain keep their
+   * state. A worker that is added later starts cold. Those of the first update with any
+   * workers count as warm: then the entry VM has just started, not the workers.
    * @param workers by worker id
-   * @param now the present
+   * @param now the current time
    */
-  updateWorkers (workers: ReadonlyMap<string, KnownWorker>, now: Instant): void {
+  updateWorkers (workers: ReadonlyMap<string, WorkerAssignment>, now: Instant): void {
     for (const [workerId, state] of this.states) {
       if (workers.has(workerId)) continue
       this.states.delete(workerId)
       if (state.inFlight > 0) this.removed.set(workerId, state)
     }
-    for (const [workerId, known] of workers) {
+    for (const [workerId, assignment] of workers) {
       const state = this.states.get(workerId)
-      if (state !== undefined && state.address === known.address) state.slots = known.slots
-      else this.addWorker(workerId, known, now)
+      if (state !== undefined && state.address === assignment.address) state.slots = assignment.slots
+      else this.addWorker(workerId, assignment, now)
     }
-    this.hasWorkers ||= workers.size > 0
-    releaseBeyondFloor(this.states, now)
+    this.hasHadWorkers ||= workers.size > 0
+    endExcessEjections(this.states, now)
   }
 
-  /** @returns all workers, as candidates for `chooseWorker` */
+  /** @returns all workers, the candidates for `chooseWorker` */
   list (): readonly WorkerState[] {
     return [...this.states.values()]
   }
 
   /**
-   * @param workerId the worker
-   * @returns what is known of it
+   * @param workerId the worker's id
+   * @returns its state, or undefined if it isn't configured
    */
   get (workerId: string): WorkerState | undefined {
     return this.states.get(workerId)
   }
 
   /**
-   * Takes one of our slots for a request; `release` gives it back.
-   * @param workerId the worker
-   * @returns false if no slot is free
+   * Reserves a slot for one request; {@link release} returns it.
+   * @param workerId the worker's id
+   * @returns false if no slot is free or the worker isn't configured
    */
   reserve (workerId: string): boolean {
     const state = this.states.get(workerId)
@@ -84,7 +83,10 @@
     return true
   }
 
-  /** @param workerId the worker at which a request has ended */
+  /**
+   * Returns the slot of a request that has ended.
+   * @param workerId the worker's id
+   */
   release (workerId: string): void {
     const state = this.states.get(workerId) ?? this.removed.get(workerId)
     if (state === undefined || state.inFlight === 0) return
@@ -93,9 +95,9 @@
   }
 
   /**
-   * Notes a whole answer.
-   * @param workerId the worker that answered
-   * @param now the present; without it the answer does not outweigh failed probes
+   * Records a complete response.
+   * @param workerId the id of the worker that responded
+   * @param now the current time; if omitted, the response doesn't override failed probes
    */
   observeAnswer (workerId: string, now = -Infinity): void {
     const state = this.states.get(workerId)
@@ -103,23 +105,24 @@
   }
 
   /**
-   * Notes how long a worker took to begin an answer, for requests whose body was
-   * not streamed: a slow caller is no slow worker.
-   * @param workerId the worker
-   * @param elapsedMs from sending the request to the answer's headers
-   * @param now the present
+   * Records how long a worker took to start a response. Only for requests whose body was
+   * not streamed: otherwise a slow caller would make the worker look slow.
+   * @param workerId the worker's id
+   * @param elapsedMs from sending the request to receiving the response headers
+   * @param now the current time
    */
   observeAnswerTime (workerId: string, elapsedMs: number, now: Instant): void {
     const state = this.states.get(workerId)
     if (state === undefined) return
     const meanMs = state.answerTime?.meanMs ?? elapsedMs
-    state.answerTime = { meanMs: meanMs + ANSWER_TIME_GAIN * (elapsedMs - meanMs), updatedAt: now }
+    state.answerTime = { meanMs: meanMs + RESPONSE_TIME_SMOOTHING_RATIO * (elapsedMs - meanMs), updatedAt: now }
   }
 
   /**
-   * Notes a reset, a truncated answer, an answer of a server's error or a missed deadline.
-   * @param workerId the worker that failed
-   * @param now the present
+   * Records a failed request: a connection reset, a truncated response, a server error or a
+   * missed deadline.
+   * @param workerId the id of the worker that failed
+   * @param now the current time
    */
   observeFailure (workerId: string, now: Instant): void {
     const state = this.states.get(workerId)
@@ -127,31 +130,31 @@
   }
 
   /**
-   * Notes a probe that was answered. It ends no ejection: a worker may call
-   * itself healthy and fail its requests. A worker that comes back after having
-   * been out of reach starts cold, and may be tried before its ejection ends.
-   * @param workerId the worker
-   * @param isStarting whether it says that it is starting
-   * @param now the present
+   * Records a successful probe. This alone doesn't end an ejection, as a worker may report
+   * to be healthy and still fail its requests. A worker that was unreachable for long is
+   * assumed to have restarted: it starts cold and may be tried before its ejection ends.
+   * @param workerId the worker's id
+   * @param isStarting whether the worker reports that it is starting
+   * @param now the current time
    */
   observeProbe (workerId: string, isStarting: boolean, now: Instant): void {
     const state = this.states.get(workerId)
     if (state === undefined) return
     const { unreachableSince } = state
-    state.probeFailuresInRow = 0
+    state.consecutiveProbeFailures = 0
     state.unreachableSince = undefined
-    if (unreachableSince !== undefined && now - unreachableSince >= RESTART_SPAN_MS) {
+    if (unreachableSince !== undefined && now - unreachableSince >= MIN_RESTART_OUTAGE_MS) {
       state.ejectedUntil = Math.min(state.ejectedUntil, now)
       this.startWarmUp(state, now)
     }
-    if (isStarting) this.observeStarting(state, now)
+    if (isStarting) this.renewWarmUp(state, now)
     else state.startingSince = undefined
   }
 
   /**
-   * Notes a probe without a sensible answer.
-   * @param workerId the worker
-   * @param now the present
+   * Records a probe without a valid response.
+   * @param workerId the worker's id
+   * @param now the current time
    */
   observeProbeFailure (workerId: string, now: Instant): void {
     const state = this.states.get(workerId)
@@ -159,9 +162,9 @@
   }
 
   /**
-   * Keeps a report unless a newer one is known: answers overtake each other.
-   * @param workerId the worker
-   * @param load what it reported
+   * Records a load report. Older ones are ignored, as reports may arrive out of order.
+   * @param workerId the worker's id
+   * @param load the reported load; ignored if it isn't finite
    */
   observeLoad (workerId: string, load: LoadReport): void {
     const state = this.states.get(workerId)
@@ -170,17 +173,17 @@
   }
 
   /**
-   * Notes a worker's own word of its drain, first-hand or from a peer; the words
-   * may come in any order.
-   * @param workerId the worker
+   * Records whether a worker reports that it drains, directly or through a peer. Reports may
+   * arrive out of order.
+   * @param workerId the worker's id
    * @param isDraining whether it drains
-   * @param heardAt when the worker said so; for an answered probe, when it was sent
+   * @param heardAt when the worker reported it; for a probe, when the probe was sent
    */
   markDraining (workerId: string, isDraining: boolean, heardAt: Instant): void {
     const state = this.states.get(workerId)
     if (state === undefined) return
     const isOutdated = state.isDrainAnnounced && !isDraining
-      ? heardAt < state.drainHeardAt + DRAIN_WITHDRAWN_MARGIN_MS
+      ? heardAt < state.drainHeardAt + DRAIN_END_MARGIN_MS
       : heardAt < state.drainHeardAt
     if (isOutdated) return
     state.drainHeardAt = heardAt
@@ -189,10 +192,10 @@
   }
 
   /**
-   * Notes what the platform says of the worker's VM.
-   * @param workerId the worker
-   * @param isVmLeaving whether its VM leaves
-   * @param now the present
+   * Records whether the platform removes the worker's VM; the worker counts as draining meanwhile.
+   * @param workerId the worker's id
+   * @param isVmLeaving whether its VM is being removed
+   * @param now the current time
    */
   markVmLeaving (workerId: string, isVmLeaving: boolean, now: Instant): void {
     const state = this.states.get(workerId)
@@ -202,9 +205,9 @@
   }
 
   /**
-   * Begins the slow start of a worker that came up cold.
-   * @param workerId the worker
-   * @param now the present
+   * Begins the warm-up of a worker that has started cold, and discards an earlier report that it drains.
+   * @param workerId the worker's id
+   * @param now the current time
    */
   markStarted (workerId: string, now: Instant): void {
     const state = this.states.get(workerId)
@@ -215,41 +218,40 @@
   }
 
   /**
-   * @param now the present
-   * @returns workers that are ejected and not draining
+   * @param now the current time
+   * @returns how many workers are ejected and not draining
    */
   countEjected (now: Instant): number {
-    return listEjected(this.states, now).length
+    return listEjectedWorkers(this.states, now).length
   }
 
-  private addWorker (workerId: string, { address, slots }: KnownWorker, now: Instant): void {
-    const before = this.states.get(workerId) ?? this.removed.get(workerId)
+  private addWorker (workerId: string, { address, slots }: WorkerAssignment, now: Instant): void {
+    const previous = this.states.get(workerId) ?? this.removed.get(workerId)
     const state = createWorkerState(workerId, address, slots)
-    // Requests that are still open at the worker of this id are released by id:
-    // counted from zero, the worker would be given more than its slots.
-    state.inFlight = before?.inFlight ?? 0
+    // Requests that are still in flight at this worker id will be released by id. If the
+    // count restarted at zero, the worker would get more requests than it has slots.
+    state.inFlight = previous?.inFlight ?? 0
     this.removed.delete(workerId)
     this.states.set(workerId, state)
-    if (this.hasWorkers) this.startWarmUp(state, now)
+    if (this.hasHadWorkers) this.startWarmUp(state, now)
   }
 
   /**
-   * While a worker says that it is starting, its warm-up begins anew; but not for
-   * longer than one warm-up, or a worker that says so for ever would stay at the
-   * least weight for ever.
+   * Begins the warm-up again for a worker that reports to be starting, for at most one warm-up
+   * period: a worker that reports this forever would otherwise never gain weight.
    */
-  private observeStarting (state: MutableWorkerState, now: Instant): void {
+  private renewWarmUp (state: MutableWorkerState, now: Instant): void {
     state.startingSince ??= now
     if (now - state.startingSince <= this.policy.warmUpSpanMs) this.startWarmUp(state, now)
   }
 
   private startWarmUp (state: MutableWorkerState, now: Instant): void {
-    state.warmUpFrom = now
+    state.warmUpStartedAt = now
     state.warmUpUntil = createDeadline(now, this.policy.warmUpSpanMs)
   }
 
   private applyDrain (state: MutableWorkerState, now: Instant): void {
     state.isDraining = state.isDrainAnnounced || state.isVmLeaving
-    releaseBeyondFloor(this.states, now)
+    endExcessEjections(this.states, now)
   }
 }
--- a/packages/steering/test/common/workers/workers.test.ts
+++ b/packages/steering/test/common/workers/workerTable.test.ts
@@ -1,4 +1,4 @@
-/** The choice among workers, and the floor under ejection. */
+/** The limit of ejections, and the choice among workers. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
@@ -36,9 +36,9 @@
 })
 
 describe('WorkerTable', () => {
-  // A link to the domain is cut: every request to every worker fails. If all
-  // workers were ejected, the domain would refuse everything for the whole
-  // ejection although the link is back; at least half must stay eligible.
+  // When the network to a failure domain is down, every request to every worker fails. If all
+  // workers were ejected, the domain would refuse requests until the ejections end although
+  // the network has recovered, so at least half of the workers must stay eligible.
   it('never has more than half of the workers ejected', () => {
     fc.assert(fc.property(fc.array(eventArbitrary, { maxLength: 80 }), (events) => {
       const table = buildTable(IDS)
@@ -50,17 +50,17 @@
         else if (kind === 'drain' || kind === 'undrain') table.markDraining(id, kind === 'drain', now)
         else if (kind === 'start') table.markStarted(id, now)
         else table.updateWorkers(new Map(table.list().slice(1).map((worker) => [worker.workerId, worker])), now)
-        const taking = table.list().filter((worker) => !worker.isDraining).length
-        assert.ok(table.countEjected(now) <= taking / 2)
+        const eligibleCount = table.list().filter((worker) => !worker.isDraining).length
+        assert.ok(table.countEjected(now) <= eligibleCount / 2)
         const chosen = chooseWorker(table.list(), now, new SeededRandom(SEED))
-        assert.equal(chosen === undefined, taking === 0)
+        assert.equal(chosen === undefined, eligibleCount === 0)
       }
     }), { seed: SEED, numRuns: 500 })
   })
 
-  it('ejects a worker that fails, for longer each time, and takes it back', () => {
+  it('ejects a failing worker for longer each time, and reinstates it after a response', () => {
     const table = buildTable(IDS)
-    const spanMs = DEFAULT_WORKER_POLICY.ejectionSpanMs
+    const spanMs = DEFAULT_WORKER_POLICY.firstEjectionMs
     recordFailures(table, 'w1', 0)
     assert.equal(countChoices(table, spanMs - 1).get('w1'), undefined)
     assert.ok((countChoices(table, spanMs).get('w1') ?? 0) > 0)
@@ -72,7 +72,7 @@
 })
 
 describe('chooseWorker', () => {
-  it('never exceeds our own slots and skips draining and excluded workers', () => {
+  it('never exceeds the assigned slots and skips draining and excluded workers', () => {
     const table = buildTable(['w1', 'w2', 'w3', 'w4'], 2)
     table.markDraining('w1', true, 0)
     const random = new SeededRandom(SEED)
@@ -84,9 +84,9 @@
     assert.equal(chooseWorker(table.list(), 0, random, excluded), 'w3')
   })
 
-  // One worker claims to be idle for ever, another to be infinitely loaded. Neither
-  // may take all the domain's traffic or lose all of it.
-  it('keeps a lying worker from attracting or losing all traffic', () => {
+  // One worker always reports to be idle, another to be extremely overloaded. The first must not
+  // attract all requests of the failure domain, and the second must not lose all of them.
+  it('keeps a worker that misreports its load from attracting or losing all traffic', () => {
     const table = buildTable(['w1', 'w2', 'w3', 'w4'], 8)
     const random = new SeededRandom(SEED)
     const counts = new Map<string, number>()
@@ -99,17 +99,17 @@
       running.push(id)
       if (running.length > 24) table.release(running.shift() ?? 'none')
     }
-    assert.ok((counts.get('w1') ?? 0) < 2000, `the idle claim took ${counts.get('w1')}`)
-    assert.ok((counts.get('w4') ?? 0) > 200, `the busy claim got ${counts.get('w4')}`)
+    assert.ok((counts.get('w1') ?? 0) < 2000, `the worker that reports to be idle got ${counts.get('w1')}`)
+    assert.ok((counts.get('w4') ?? 0) > 200, `the worker that reports to be overloaded got ${counts.get('w4')}`)
   })
 
   it('discounts a report by its age, ignores older ones, and starts cold workers slowly', () => {
     const table = buildTable(['w1', 'w2'])
     table.observeLoad('w1', { utilization: 1, takenAt: 1000 })
     table.observeLoad('w1', { utilization: 0, takenAt: 900 })
-    // Few, and not none: a good worker that claims to be full must not stand idle.
+    // Few but not none: a healthy worker that wrongly reports to be full must not be idle.
     const chosen = countChoices(table, 1000).get('w1') ?? 0
-    assert.ok(chosen > 0 && chosen < 300, `the full one got ${chosen} of 2000`)
+    assert.ok(chosen > 0 && chosen < 300, `the worker that reports to be full got ${chosen} of 2000`)
     table.reserve('w2')
     assert.equal(countChoices(table, 60_000).get('w2'), undefined, 'an old report outweighs a request in flight')
     table.release('w2')
