--- a/packages/steering/src/common/quota/quotaBucket.ts
+++ b/packages/steering/src/common/quota/quotaBucket.ts
@@ -1,56 +1,62 @@
-/** What one keeper may give out for one account: a token bucket that fills at the rate of its part. */
+/** The token bucket of one account in one quota share: limits how many requests the share's owner may grant. */
 import type { Instant } from '@umberspar/base/common/clock'
-import type { QuotaPart } from './quotaBudget.js'
+import type { QuotaBucketParameters } from './quotaBudget.js'
 
-/** One bucket. */
 export class QuotaBucket {
   private tokens: number
 
   /**
-   * @param part the part of the quota
-   * @param filledAt when it begins
+   * @param parameters rate and size of the bucket
+   * @param updatedAt when it begins to fill
    */
-  constructor (private part: QuotaPart, private filledAt: Instant) {
-    this.tokens = Math.min(part.initial, part.capacity)
+  constructor (private parameters: QuotaBucketParameters, private updatedAt: Instant) {
+    this.tokens = Math.min(parameters.initialTokens, parameters.capacity)
   }
 
-  /** @param part the part of the quota from now on; a smaller one binds at once */
-  setPart (part: QuotaPart, now: Instant): void {
-    this.update(now)
-    this.part = part
-    this.tokens = Math.min(this.tokens, part.capacity)
+  /**
+   * Replaces the parameters; a smaller capacity takes effect at once.
+   * @param newParameters rate and size of the bucket from now on
+   * @param now the current time
+   */
+  setParameters (newParameters: QuotaBucketParameters, now: Instant): void {
+    this.updateTokens(now)
+    this.parameters = newParameters
+    this.tokens = Math.min(this.tokens, newParameters.capacity)
   }
 
   /**
-   * @param wanted requests asked for
-   * @param now the present
-   * @returns how many of them may be sent, whole ones only
+   * @param wanted how many requests are asked for
+   * @param now the current time
+   * @returns how many of them are granted, a whole number
    */
   take (wanted: number, now: Instant): number {
-    this.update(now)
-    const given = Math.min(wanted, Math.floor(this.tokens))
-    this.tokens -= given
-    return given
+    this.updateTokens(now)
+    const granted = Math.min(wanted, Math.floor(this.tokens))
+    this.tokens -= granted
+    return granted
   }
 
-  /** @param count requests that were given and will certainly not be sent */
+  /**
+   * @param count requests that were granted and will definitely not be sent
+   * @param now the current time
+   */
   return (count: number, now: Instant): void {
-    this.update(now)
-    this.tokens = Math.min(this.part.capacity, this.tokens + count)
+    this.updateTokens(now)
+    this.tokens = Math.min(this.parameters.capacity, this.tokens + count)
   }
 
   /**
-   * @param now the present
-   * @returns how long until another request may be sent, in milliseconds
+   * @param now the current time
+   * @returns how long until the next request can be granted, in milliseconds
    */
   getWaitMs (now: Instant): number {
-    this.update(now)
-    return this.tokens >= 1 ? 0 : (1 - this.tokens) / this.part.perMs
+    this.updateTokens(now)
+    return this.tokens >= 1 ? 0 : (1 - this.tokens) / this.parameters.refillPerMs
   }
 
-  private update (now: Instant): void {
-    const spanMs = Math.max(0, now - this.filledAt)
-    this.tokens = Math.min(this.part.capacity, this.tokens + spanMs * this.part.perMs)
-    this.filledAt = now
+  private updateTokens (now: Instant): void {
+    const elapsedMs = Math.max(0, now - this.updatedAt)
+    this.tokens = Math.min(this.parameters.capacity, this.tokens + elapsedMs * this.parameters.refillPerMs)
+    this.updatedAt = now
   }
 }
--- a/packages/steering/src/common/quota/quotaBuckets.ts
+++ b/packages/steering/src/common/quota/quotaBuckets.ts
@@ -1,84 +1,90 @@
-/** All that one VM keeps of the quotas: a bucket for each account of the shares that it holds. */
+/** The token buckets of one VM: one for each account in each quota share that the VM owns. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { AccountPolicy } from '../entry/steeringDocument.js'
-import { computeQuotaPart, type QuotaPart, type QuotaTolerance } from './quotaBudget.js'
+import { computeBucketParameters, type QuotaBucketParameters, type QuotaTolerance } from './quotaBudget.js'
 import { QuotaBucket } from './quotaBucket.js'
 import { listAccountShares, type RegionByDomain } from './quotaShares.js'
 
-/** What a keeper gives. */
+/** The response of a share's owner to a request for quota. */
 export interface QuotaGrant {
-  /** Requests that may be sent. */
+  /** How many requests may be sent. */
   readonly given: number
-  /** If none: when there is room again, in milliseconds. */
+  /** How long until more can be granted, in milliseconds; 0 if `given` isn't 0. */
   readonly waitMs: number
 }
 
-/** A share that this VM keeps. */
-interface KeptShare {
+/** A share that this VM owns. */
+interface OwnedShare {
   readonly startedAt: Instant
   readonly buckets: Map<string, QuotaBucket>
 }
 
-/** An account that has a quota. */
-interface KeptAccount {
-  readonly part: QuotaPart
-  /** Since when this VM knows that it has one. */
-  readonly since: Instant
+interface LimitedAccount {
+  readonly parameters: QuotaBucketParameters
+  /** When this VM first saw a quota of this account. */
+  readonly knownSince: Instant
 }
 
-/** The buckets of one VM. */
 export class QuotaBuckets {
-  private readonly keptShares = new Map<string, KeptShare>()
-  private accounts = new Map<string, KeptAccount>()
+  private readonly ownedShares = new Map<string, OwnedShare>()
+  private accounts = new Map<string, LimitedAccount>()
 
   /**
-   * @param tolerance how exactly quotas are kept
-   * @param regionOf all failure domains
+   * @param tolerance how far quotas may be exceeded
+   * @param regionByDomain the regions of all failure domains
    */
-  constructor (private readonly tolerance: QuotaTolerance, private readonly regionOf: RegionByDomain) {}
+  constructor (private readonly tolerance: QuotaTolerance, private readonly regionByDomain: RegionByDomain) {}
 
   /** @returns whether any account has a quota */
   get hasQuotas (): boolean {
     return this.accounts.size > 0
   }
 
-  /** @param accounts those of the configuration in force */
+  /**
+   * Applies the quotas of a configuration to all buckets.
+   * @param accounts the accounts of the current configuration
+   * @param now the current time
+   */
   setAccounts (accounts: readonly AccountPolicy[], now: Instant): void {
-    const known = this.accounts
+    const previousAccounts = this.accounts
     this.accounts = new Map()
     for (const { name, quota } of accounts) {
       if (quota === undefined) continue
-      const part = computeQuotaPart(quota, this.tolerance, listAccountShares(name, this.regionOf).length)
-      this.accounts.set(name, { part, since: known.get(name)?.since ?? now })
+      const parameters = computeBucketParameters(quota, this.tolerance, listAccountShares(name, this.regionByDomain).length)
+      this.accounts.set(name, { parameters, knownSince: previousAccounts.get(name)?.knownSince ?? now })
     }
-    for (const { buckets } of this.keptShares.values()) this.updateBuckets(buckets, now)
+    for (const { buckets } of this.ownedShares.values()) this.updateBuckets(buckets, now)
   }
 
-  /** @param share a share of which this VM has become the keeper; what was kept for it before is void */
+  /**
+   * Begins to grant quota from a share, and discards earlier buckets of the share.
+   * @param share the name of a share that this VM now owns
+   * @param now when its buckets begin to fill
+   */
   startShare (share: string, now: Instant): void {
-    this.keptShares.set(share, { startedAt: now, buckets: new Map() })
+    this.ownedShares.set(share, { startedAt: now, buckets: new Map() })
   }
 
-  /** @param share a share of which this VM is the keeper no more */
+  /** @param share the name of a share that this VM no longer owns */
   endShare (share: string): void {
-    this.keptShares.delete(share)
+    this.ownedShares.delete(share)
   }
 
   /**
    * @param account an account's name
-   * @returns the part of its quota that each keeper has; undefined if it has no quota or is not known
+   * @returns the parameters of its bucket in each share; undefined if it has no quota or is unknown
    */
-  readPart (account: string): QuotaPart | undefined {
-    return this.accounts.get(account)?.part
+  readPart (account: string): QuotaBucketParameters | undefined {
+    return this.accounts.get(account)?.parameters
   }
 
   /**
-   * @param share a share
+   * @param share a share's name
    * @param account an account's name
-   * @param wanted requests asked for
-   * @param unused requests that were given before and will certainly not be sent
-   * @param now the present
-   * @returns what may be sent; undefined if this VM does not keep the share or does not know the account
+   * @param wanted how many requests are asked for
+   * @param unused earlier granted requests that will definitely not be sent
+   * @param now the current time
+   * @returns what is granted; undefined if this VM doesn't own the share or the account has no known quota
    */
   take (share: string, account: string, wanted: number, unused: number, now: Instant): QuotaGrant | undefined {
     const bucket = this.readBucket(share, account)
@@ -90,21 +96,21 @@
 
   private updateBuckets (buckets: Map<string, QuotaBucket>, now: Instant): void {
     for (const [name, bucket] of buckets) {
-      const part = this.readPart(name)
-      if (part === undefined) buckets.delete(name)
-      else bucket.setPart(part, now)
+      const parameters = this.readPart(name)
+      if (parameters === undefined) buckets.delete(name)
+      else bucket.setParameters(parameters, now)
     }
   }
 
   private readBucket (share: string, name: string): QuotaBucket | undefined {
-    const kept = this.keptShares.get(share)
+    const ownedShare = this.ownedShares.get(share)
     const account = this.accounts.get(name)
-    if (kept === undefined || account === undefined) return undefined
-    let bucket = kept.buckets.get(name)
+    if (ownedShare === undefined || account === undefined) return undefined
+    let bucket = ownedShare.buckets.get(name)
     if (bucket === undefined) {
-      // Nothing was given since this VM keeps the share, so it has filled all the while.
-      bucket = new QuotaBucket(account.part, Math.max(kept.startedAt, account.since))
-      kept.buckets.set(name, bucket)
+      // Nothing was granted since this VM owns the share, so the bucket has been filling since then.
+      bucket = new QuotaBucket(account.parameters, Math.max(ownedShare.startedAt, account.knownSince))
+      ownedShare.buckets.set(name, bucket)
     }
     return bucket
   }
--- a/packages/steering/src/common/quota/quotaBudget.ts
+++ b/packages/steering/src/common/quota/quotaBudget.ts
@@ -1,64 +1,64 @@
 /**
- * How an account's quota is divided: into parts of equal rate, one for each keeper,
- * and within the tolerance that the operators give on top, into what is allowed for.
+ * Divides an account's quota equally among the owners of its shares, and the tolerated
+ * excess among the causes that can make an account exceed its quota.
  *
- * The load pattern: the callers of an account are spread over many entry VMs, which
- * may be cut off from each other at any time; together they must stay below the
- * quota's tolerance in every window, and refuse nothing below the quota itself.
+ * The callers of an account are spread over many entry VMs, which may be partitioned from
+ * each other at any time. Together the VMs must stay within the quota's tolerance in every
+ * window, and must not refuse requests below the quota itself.
  *
- * The quota allows rate times window and a burst in **every** window. So that much is
- * given out evenly, window after window, and not the burst once and the rate from
- * then on: an account that keeps just below its quota would be refused a sixth. What
- * comes at once beyond the gathered part is served within a fraction of a second.
+ * The quota allows rate times window plus a burst in **every** window. Therefore the buckets
+ * refill at that total per window, instead of granting the burst once and the rate from then
+ * on: an account just below its quota would otherwise have a sixth of its requests refused.
+ * Requests of a sudden burst beyond a bucket's capacity wait for a fraction of a second.
  */
 import type { AccountQuota } from '../entry/steeringDocument.js'
 
-/** How exactly quotas are kept, as operators set it. */
+/** How far quotas may be exceeded, as set by operators. */
 export interface QuotaTolerance {
-  /** The window in which requests are counted, in milliseconds. */
+  /** Length of the window in which requests are counted, in milliseconds. */
   readonly windowMs: number
-  /** The part of the quota that may come on top. */
+  /** The fraction of the quota that is tolerated on top of it. */
   readonly over: number
-  /** Requests that may come on top of that. */
+  /** The number of requests per window that is tolerated on top of that. */
   readonly slack: number
 }
 
-/** One keeper's part of an account's quota. */
-export interface QuotaPart {
-  /** Requests a millisecond. */
-  readonly perMs: number
-  /** The most that gathers while nothing is asked for, in requests. */
+/** The token bucket of an account in one of its shares. */
+export interface QuotaBucketParameters {
+
+  readonly refillPerMs: number
+  /** The most requests that accumulate while none are granted. */
   readonly capacity: number
-  /** What a keeper begins with, which does not know what its predecessor gave out, in requests. */
-  readonly initial: number
-  /** How long a VM may keep what it was given before the request came that uses it, in milliseconds. */
+  /** Requests in the bucket of a new owner, which doesn't know what the previous owner granted. */
+  readonly initialTokens: number
+  /** How long a VM may hold granted tokens before a request uses them, in milliseconds. */
   readonly stockMs: number
 }
 
-/** The most of the tolerance that goes into what VMs keep in stock, which lets one message serve several requests. */
-const MOST_STOCK_PART = 0.4
-/** What is kept longer is given back too late to serve others, in milliseconds. */
-const MOST_STOCK_MS = 250
+/** The largest fraction of the tolerated excess for tokens that VMs hold in advance, so that one message serves several requests. */
+const MAX_POOLED_TOLERANCE_RATIO = 0.4
+/** Tokens that are held longer would be returned too late for other VMs to use them. */
+const MAX_TOKEN_AGE_MS = 250
 /**
- * What the rest of the tolerance is spent on; with two new keepers of each part in one
- * window it adds up to 1. What gathers while nothing is asked for serves callers that
- * come together, or by chance to one keeper.
+ * How the remaining tolerated excess is divided: between the buckets' capacity, which serves
+ * simultaneous requests and those that happen to reach one owner, and the initial tokens of
+ * new owners. With two new owners of each share in one window this adds up to 1.
  */
-const GATHERED_PART = 0.6
-const INITIAL_PART = 0.2
+const CAPACITY_TOLERANCE_RATIO = 0.6
+const INITIAL_TOLERANCE_RATIO = 0.2
 const MS_PER_SECOND = 1_000
 
 /**
  * @param quota an account's quota
- * @param tolerance how exactly it is kept
- * @param parts into how many parts it is divided
- * @returns one of the parts
+ * @param tolerance how far it may be exceeded
+ * @param shareCount how many shares it is divided among
+ * @returns the parameters of the account's bucket in each share
  */
-export function computeQuotaPart ({ ratePerSecond, burst }: AccountQuota, { windowMs, over, slack }: QuotaTolerance, parts: number): QuotaPart {
-  const allowed = ratePerSecond / MS_PER_SECOND * windowMs + burst
-  const perMs = allowed / windowMs
-  const extra = allowed * over + slack
-  const stockMs = Math.min(MOST_STOCK_MS, extra * MOST_STOCK_PART / perMs)
-  const rest = extra - perMs * stockMs
-  return { perMs: perMs / parts, capacity: rest * GATHERED_PART / parts, initial: rest * INITIAL_PART / parts, stockMs }
+export function computeBucketParameters ({ ratePerSecond, burst }: AccountQuota, { windowMs, over, slack }: QuotaTolerance, shareCount: number): QuotaBucketParameters {
+  const requestsPerWindow = ratePerSecond / MS_PER_SECOND * windowMs + burst
+  const refillPerMs = requestsPerWindow / windowMs
+  const toleratedExcess = requestsPerWindow * over + slack
+  const stockMs = Math.min(MAX_TOKEN_AGE_MS, toleratedExcess * MAX_POOLED_TOLERANCE_RATIO / refillPerMs)
+  const remainingExcess = toleratedExcess - refillPerMs * stockMs
+  return { refillPerMs: refillPerMs / shareCount, capacity: remainingExcess * CAPACITY_TOLERANCE_RATIO / shareCount, initialTokens: remainingExcess * INITIAL_TOLERANCE_RATIO / shareCount, stockMs }
 }
--- a/packages/steering/src/common/quota/quotaShares.ts
+++ b/packages/steering/src/common/quota/quotaShares.ts
@@ -1,27 +1,27 @@
 /**
- * Which shares the quotas are divided into, and who may keep them. Every VM works
- * this out alike from the deployment's failure domains and the list of VMs; that a
- * share has one keeper at most is the store's to decide.
+ * Defines the shares that quotas are divided into, and which VMs may claim them. All VMs
+ * compute the same result from the failure domains and the list of VMs. That a share has
+ * at most one owner is enforced by the store.
  */
 import { rankByRendezvous } from '../lookup/rendezvous.js'
 import { computeHash32 } from '../hash/xxHash.js'
 import type { EntryNode } from '../entry/records.js'
 
-/** Shares in each failure domain: each is asked by all VMs of the domain, for its part of the accounts. */
+/** Each share of a failure domain serves a part of the accounts to all VMs of the domain. */
 const SHARES_PER_DOMAIN = 2
-/** An account is divided among so many domains at most: more would leave small accounts less than one request a second each. */
-const MOST_PARTS = 8
-/** VMs that may claim a share: if the first does not, it is dead or cut off. */
-const CLAIMERS = 3
-/** A free share is left so long to each claimer that ranks higher, in milliseconds. */
-const STEP_MS = 1_000
-/** It is left so long to VMs of its own domain, and as long again to those of its region, in milliseconds: they may be starting. */
-const FAR_MS = 3_000
+/** With more domains, a small account would get less than one request per second in each of them. */
+const MAX_DOMAINS_PER_ACCOUNT = 8
+/** Further VMs may claim a share in case the first is down or partitioned. */
+const MAX_CLAIMANTS_PER_SHARE = 3
+/** How long a VM waits for each claimant that ranks higher before it claims a free share. */
+const CLAIM_DELAY_PER_RANK_MS = 1_000
+/** How long a free share is left to VMs of its domain, and as long again to VMs of its region, as these may still be starting. */
+const CLAIM_DELAY_PER_DISTANCE_MS = 3_000
 
-/** The regions of all failure domains. */
+/** The region of each failure domain. */
 export type RegionByDomain = ReadonlyMap<string, string>
 
-/** One share of the quotas. */
+/** A share of the quotas of many accounts, owned by at most one VM at a time. */
 export interface QuotaShare {
   /** Unique in the deployment. */
   readonly name: string
@@ -33,57 +33,57 @@
 }
 
 /**
- * @param regionOf all failure domains
- * @returns all shares
+ * @param regionByDomain the regions of all failure domains
+ * @returns all shares of the deployment
  */
-export function listShares (regionOf: RegionByDomain): QuotaShare[] {
-  return [...regionOf.keys()].flatMap((domain) => Array.from({ length: SHARES_PER_DOMAIN }, (_, index) => createShare(domain, index)))
+export function listShares (regionByDomain: RegionByDomain): QuotaShare[] {
+  return [...regionByDomain.keys()].flatMap((domain) => Array.from({ length: SHARES_PER_DOMAIN }, (_, index) => createShare(domain, index)))
 }
 
 /**
  * @param account an account's name
- * @param regionOf all failure domains
+ * @param regionByDomain the regions of all failure domains
  * @returns the shares that its quota is divided among
  */
-export function listAccountShares (account: string, regionOf: RegionByDomain): QuotaShare[] {
-  const domains = [...regionOf.keys()]
-  const chosen = domains.length <= MOST_PARTS ? domains : rankByRendezvous(`quota/${account}`, domains).slice(0, MOST_PARTS)
+export function listAccountShares (account: string, regionByDomain: RegionByDomain): QuotaShare[] {
+  const domains = [...regionByDomain.keys()]
+  const chosen = domains.length <= MAX_DOMAINS_PER_ACCOUNT ? domains : rankByRendezvous(`quota/${account}`, domains).slice(0, MAX_DOMAINS_PER_ACCOUNT)
   const index = computeHash32(account) % SHARES_PER_DOMAIN
   return chosen.map((domain) => createShare(domain, index))
 }
 
 /**
- * Groups shares by their way from a VM: its own domain, its region, elsewhere.
- * @param shares the shares
+ * Groups shares by their distance from a VM: in its failure domain, in its region, elsewhere.
+ * @param shares the shares to group
  * @param domain the VM's failure domain
- * @param regionOf all failure domains
- * @returns the groups that have shares, the nearest first
+ * @param regionByDomain the regions of all failure domains
+ * @returns the groups that aren't empty, the nearest first
  */
-export function splitByNearness (shares: readonly QuotaShare[], domain: string, regionOf: RegionByDomain): QuotaShare[][] {
-  const isOwn = (share: QuotaShare): boolean => share.domain === domain
-  const isNear = (share: QuotaShare): boolean => regionOf.get(share.domain) === regionOf.get(domain)
+export function splitByNearness (shares: readonly QuotaShare[], domain: string, regionByDomain: RegionByDomain): QuotaShare[][] {
+  const isInDomain = (share: QuotaShare): boolean => share.domain === domain
+  const isInRegion = (share: QuotaShare): boolean => regionByDomain.get(share.domain) === regionByDomain.get(domain)
   const groups = [
-    shares.filter(isOwn),
-    shares.filter((share) => !isOwn(share) && isNear(share)),
-    shares.filter((share) => !isNear(share))
+    shares.filter(isInDomain),
+    shares.filter((share) => !isInDomain(share) && isInRegion(share)),
+    shares.filter((share) => !isInRegion(share))
   ]
   return groups.filter((group) => group.length > 0)
 }
 
 /**
- * Who claims a share and when: VMs of its domain, or of its region while the domain
- * has none, or any. The first of its domain claims it at once, the others later: VMs
- * that start together know few of each other at first.
- * @param share a share
- * @param nodes the entry VMs that are registered
- * @param regionOf all failure domains
- * @returns by the VM's name how long it leaves a free share to others, in milliseconds
+ * Determines which VMs may claim a share and when: VMs of its failure domain, or of its region
+ * if the domain has none, or else any. The first VM of its domain claims it immediately, the
+ * others after a delay, as VMs that start at the same time know few of each other at first.
+ * @param share the share to claim
+ * @param nodes all registered entry VMs
+ * @param regionByDomain the regions of all failure domains
+ * @returns how long each claimant waits before it claims the free share, in milliseconds, by VM name
  */
-export function planClaims (share: QuotaShare, nodes: readonly EntryNode[], regionOf: RegionByDomain): Map<string, number> {
-  const own = nodes.filter(({ domain }) => domain === share.domain)
-  const near = nodes.filter(({ domain }) => regionOf.get(domain) === regionOf.get(share.domain))
-  const groups = [own, near, nodes]
+export function planClaims (share: QuotaShare, nodes: readonly EntryNode[], regionByDomain: RegionByDomain): Map<string, number> {
+  const inDomain = nodes.filter(({ domain }) => domain === share.domain)
+  const inRegion = nodes.filter(({ domain }) => regionByDomain.get(domain) === regionByDomain.get(share.domain))
+  const groups = [inDomain, inRegion, nodes]
   const distance = groups.findIndex((group) => group.length > 0)
   const ranked = rankByRendezvous(`share/${share.name}`, (groups[distance] ?? []).map(({ name }) => name))
-  return new Map(ranked.slice(0, CLAIMERS).map((name, rank) => [name, distance * FAR_MS + rank * STEP_MS]))
+  return new Map(ranked.slice(0, MAX_CLAIMANTS_PER_SHARE).map((name, rank) => [name, distance * CLAIM_DELAY_PER_DISTANCE_MS + rank * CLAIM_DELAY_PER_RANK_MS]))
 }
--- a/packages/steering/src/common/quota/takeRate.ts
+++ b/packages/steering/src/common/quota/takeRate.ts
@@ -1,30 +1,30 @@
-/** How often something is taken lately, so that the next ones can be asked for together. */
+/** Estimates an account's request rate, so that tokens for several requests can be asked for at once. */
 import type { Instant } from '@umberspar/base/common/clock'
 
-/** The mean is over about this span, in milliseconds: long enough for accounts with a few requests a second. */
-const SPAN_MS = 2_000
+/** Time constant of the average, long enough for accounts with few requests per second. */
+const AVERAGING_WINDOW_MS = 2_000
 
-/** A rate that fades. */
+/** A request rate with exponential decay. */
 export class TakeRate {
   private count = 0
-  private at: Instant = 0
+  private updatedAt: Instant = 0
 
-  /** @param now when something was taken */
+  /** @param now when a request asked for a token */
   record (now: Instant): void {
-    this.count = this.getCount(now) + 1
-    this.at = now
+    this.count = this.computeDecayedCount(now) + 1
+    this.updatedAt = now
   }
 
   /**
-   * @param now the present
-   * @param spanMs a span to come, in milliseconds
-   * @returns how much is expected to be taken in it
+   * @param now the current time
+   * @param spanMs the length of a coming period, in milliseconds
+   * @returns how many requests are expected in it
    */
   estimate (now: Instant, spanMs: number): number {
-    return this.getCount(now) * spanMs / SPAN_MS
+    return this.computeDecayedCount(now) * spanMs / AVERAGING_WINDOW_MS
   }
 
-  private getCount (now: Instant): number {
-    return this.count * Math.exp((this.at - now) / SPAN_MS)
+  private computeDecayedCount (now: Instant): number {
+    return this.count * Math.exp((this.updatedAt - now) / AVERAGING_WINDOW_MS)
   }
 }
