--- a/packages/steering/src/common/rateLimits/apportion.ts
+++ b/packages/steering/src/common/rateLimits/apportion.ts
@@ -1,39 +1,38 @@
-/** Divides a whole number among claimants by weight, in whole numbers that add up to it (largest remainders). */
+/** Divides a whole number by weight into whole numbers that add up to it (largest remainder method). */
 import { computePairHash } from '../lookup/rendezvous.js'
 
-/** One claimant. */
-export interface Claimant {
+export interface WeightedRecipient {
   readonly name: string
-  /** Not negative. */
+  /** Must not be negative. */
   readonly weight: number
 }
 
-interface Quota {
+interface Portion {
   readonly name: string
   readonly whole: number
   readonly remainder: number
   readonly hash: number
 }
 
-/** Remainders that differ by rounding only must tie. */
-const REMAINDER_STEPS = 1e6
+/** Remainders are compared in these steps, so that those that differ only by a rounding error tie. */
+const REMAINDER_STEPS_PER_UNIT = 1e6
 
 /**
- * @param total what is divided, a whole number
- * @param claimants in any order; if all weights are 0 they count alike
- * @param key spreads ties: the same for all who divide the same total
- * @returns each claimant's part by name
+ * @param total the whole number to divide
+ * @param recipients in any order; if all weights are 0, they are treated as equal
+ * @param key breaks ties; must be the same for all callers that divide the same total
+ * @returns each recipient's part by name
  */
-export function divideByWeight (total: number, claimants: readonly Claimant[], key: string): Map<string, number> {
-  const sum = claimants.reduce((all, { weight }) => all + weight, 0)
-  const quotas = claimants.map(({ name, weight }): Quota => {
-    const exact = total * (sum === 0 ? 1 / claimants.length : weight / sum)
-    // A quota that is whole but for rounding must not lose its last unit.
-    const whole = Math.floor(exact + 1 / REMAINDER_STEPS)
-    return { name, whole, remainder: Math.round((exact - whole) * REMAINDER_STEPS), hash: computePairHash(key, name) }
+export function divideByWeight (total: number, recipients: readonly WeightedRecipient[], key: string): Map<string, number> {
+  const totalWeight = recipients.reduce((all, { weight }) => all + weight, 0)
+  const portions = recipients.map(({ name, weight }): Portion => {
+    const exact = total * (totalWeight === 0 ? 1 / recipients.length : weight / totalWeight)
+    // A portion that is whole except for a rounding error must not lose its last unit.
+    const whole = Math.floor(exact + 1 / REMAINDER_STEPS_PER_UNIT)
+    return { name, whole, remainder: Math.round((exact - whole) * REMAINDER_STEPS_PER_UNIT), hash: computePairHash(key, name) }
   })
-  const left = total - quotas.reduce((all, { whole }) => all + whole, 0)
-  const ranked = [...quotas].sort((one, other) => other.remainder - one.remainder || other.hash - one.hash || (one.name < other.name ? -1 : 1))
-  const rounded = new Set(ranked.slice(0, Math.max(0, left)).map(({ name }) => name))
-  return new Map(quotas.map(({ name, whole }) => [name, whole + Number(rounded.has(name))]))
+  const undistributed = total - portions.reduce((all, { whole }) => all + whole, 0)
+  const ranked = [...portions].sort((first, second) => second.remainder - first.remainder || second.hash - first.hash || (first.name < second.name ? -1 : 1))
+  const roundedUp = new Set(ranked.slice(0, Math.max(0, undistributed)).map(({ name }) => name))
+  return new Map(portions.map(({ name, whole }) => [name, whole + Number(roundedUp.has(name))]))
 }
--- a/packages/steering/src/common/rateLimits/rateAllowance.ts
+++ b/packages/steering/src/common/rateLimits/rateAllowance.ts
@@ -1,77 +1,77 @@
 /**
- * How many requests this entry VM may send to a worker that names a rate limit for
- * all entry VMs together. Every VM divides the limit in the same way, by the part
- * of the worker's requests that each is expected to bring, so that the sum holds
- * without messages.
+ * Divides a worker's rate limit, which applies to all entry VMs together, among the VMs.
+ * Every VM computes the same division, in proportion to the requests that each VM is expected
+ * to send to the worker, so that the sum stays within the limit without communication.
  */
 import { divideByWeight } from './apportion.js'
 
-/** Limits are kept in any span of this length, or in a longer one for limits that allow less than one request in it. */
-const WINDOW_MS = 4_000
+/** Limits hold in every window of this length; limits that allow less than one request in it get a longer window. */
+const MIN_WINDOW_MS = 4_000
 const MAX_WINDOW_MS = 60_000
 const MS_PER_SECOND = 1_000
-/** The part of the tolerated excess that is given out; the rest covers VMs that know of other VMs for the moment. */
-const GIVEN_EXCESS_PART = 0.7
+/** The fraction of the tolerated excess that is divided; the rest covers times when VMs have different lists of VMs. */
+const ALLOCATED_EXCESS_RATIO = 0.7
 /**
- * VMs that get no part cannot see a limit end. Each tries again now and then; all of
- * them together stay within this part of the limit.
+ * VMs that get no part of a limit can't observe that it has ended. Therefore each of them sends
+ * a probe request from time to time; together these stay within this fraction of the limit.
  */
-const PROBE_PART = 0.1
-/** Bounds the interval between two tries of one VM. */
+const MAX_PROBE_RATIO = 0.1
+
 const MIN_PROBE_INTERVAL_MS = 10_000
 const MAX_PROBE_INTERVAL_MS = 600_000
-/** Lower limits, in requests a second, are probed like this one: their end must show some day. */
-const MIN_PROBED_LIMIT = 1
+/** Lower limits are probed as often as this one, so that their end is noticed eventually. */
+const MIN_PROBED_LIMIT_PER_SECOND = 1
 
-/** One entry VM. */
+/** An entry VM that sends requests. */
 export interface SendingNode {
   readonly name: string
   readonly domain: string
 }
 
-/** How far operators let a limit be exceeded. */
+/** How far a limit may be exceeded, as set by operators. */
 export interface RateTolerance {
-  /** Multiplies the requests that a limit allows. */
+  /** Multiplies the number of requests that a limit allows. */
   readonly factor: number
-  /** Is added, in requests in any window. */
+  /** The number of requests per window that is tolerated on top. */
   readonly slack: number
 }
 
-/** What a VM may send in any window. */
+/** How many requests one VM may send to a worker in any window. */
 export interface RateAllowance {
   readonly windowMs: number
-  /** Its part of what the worker named. */
+  /** The VM's part of the worker's limit, in requests. */
   readonly named: number
-  /** Its part of what operators tolerate; not below the other. */
+  /** The VM's part of the limit with the tolerated excess, in requests; at least `named`. */
   readonly tolerated: number
-  /** For a VM without a part: from one try to the next. */
+  /** For a VM whose part is 0: the interval between probe requests, in milliseconds. */
   readonly probeIntervalMs: number
 }
 
-/** What is divided. */
+/** A rate limit that a worker set for all entry VMs together. */
 export interface RateLimit {
-  /** Requests a second. */
+
+  /** Requests per second. */
   readonly perSecond: number
   readonly workerId: string
   readonly tolerance: RateTolerance
 }
 
 /**
- * @param limit what is divided
+ * @param limit the limit to divide
  * @param nodes all entry VMs
- * @param demand the part of the worker's requests that each failure domain brings
- * @returns what each VM may send, by name
+ * @param demand the relative share of the worker's requests that each failure domain sends
+ * @returns the allowance of each VM, by name
  */
 export function divideRateLimit ({ perSecond, workerId, tolerance }: RateLimit, nodes: readonly SendingNode[], demand: ReadonlyMap<string, number>): Map<string, RateAllowance> {
-  const windowMs = Math.min(MAX_WINDOW_MS, Math.max(WINDOW_MS, MS_PER_SECOND / perSecond))
-  const named = Math.floor(perSecond * windowMs / MS_PER_SECOND)
-  const excess = Math.floor(((tolerance.factor - 1) * named + tolerance.slack) * GIVEN_EXCESS_PART)
+  const windowMs = Math.min(MAX_WINDOW_MS, Math.max(MIN_WINDOW_MS, MS_PER_SECOND / perSecond))
+  const maxRequests = Math.floor(perSecond * windowMs / MS_PER_SECOND)
+  const excess = Math.floor(((tolerance.factor - 1) * maxRequests + tolerance.slack) * ALLOCATED_EXCESS_RATIO)
   const countByDomain = new Map<string, number>()
   for (const { domain } of nodes) countByDomain.set(domain, (countByDomain.get(domain) ?? 0) + 1)
-  const claimants = nodes.map(({ name, domain }) => ({ name, weight: (demand.get(domain) ?? 0) / countByDomain.get(domain)! }))
-  const namedParts = divideByWeight(named, claimants, workerId)
-  const excessParts = divideByWeight(excess, claimants, `${workerId}/excess`)
-  const without = [...namedParts.values()].filter((part) => part === 0).length
-  const probeIntervalMs = Math.min(MAX_PROBE_INTERVAL_MS, Math.max(MIN_PROBE_INTERVAL_MS, without * MS_PER_SECOND / (Math.max(MIN_PROBED_LIMIT, perSecond) * PROBE_PART)))
-  return new Map([...namedParts].map(([name, part]) => [name, { windowMs, named: part, tolerated: part + excessParts.get(name)!, probeIntervalMs }]))
+  const recipients = nodes.map(({ name, domain }) => ({ name, weight: (demand.get(domain) ?? 0) / countByDomain.get(domain)! }))
+  const requestParts = divideByWeight(maxRequests, recipients, workerId)
+  const excessParts = divideByWeight(excess, recipients, `${workerId}/excess`)
+  const nodesWithoutPart = [...requestParts.values()].filter((part) => part === 0).length
+  const probeIntervalMs = Math.min(MAX_PROBE_INTERVAL_MS, Math.max(MIN_PROBE_INTERVAL_MS, nodesWithoutPart * MS_PER_SECOND / (Math.max(MIN_PROBED_LIMIT_PER_SECOND, perSecond) * MAX_PROBE_RATIO)))
+  return new Map([...requestParts].map(([name, part]) => [name, { windowMs, named: part, tolerated: part + excessParts.get(name)!, probeIntervalMs }]))
 }
--- a/packages/steering/src/common/rateLimits/sendMeter.ts
+++ b/packages/steering/src/common/rateLimits/sendMeter.ts
@@ -1,38 +1,38 @@
-/** Counts what was sent in any span of a given length. */
+/** Counts the requests that were sent within a sliding window. */
 import type { Instant } from '@umberspar/base/common/clock'
 
-/** The sends of one worker's requests from this VM. */
+/** The times at which this VM sent requests to one worker; kept as long as the longest window asked for. */
 export class SendMeter {
   private sentAt: Instant[] = []
-  private longestMs = 0
+  private retentionMs = 0
 
   /** @param now when a request was sent */
   record (now: Instant): void {
     this.sentAt.push(now)
-    const from = now - this.longestMs
-    if (this.sentAt[0]! <= from) this.sentAt = this.sentAt.filter((at) => at > from)
+    const keptAfter = now - this.retentionMs
+    if (this.sentAt[0]! <= keptAfter) this.sentAt = this.sentAt.filter((at) => at > keptAfter)
   }
 
   /**
-   * @param spanMs a span that ends now, in milliseconds
-   * @param now the present
-   * @returns how many were sent in it
+   * @param spanMs length of a window that ends now, in milliseconds
+   * @param now the current time
+   * @returns how many requests were sent in the window
    */
   count (spanMs: number, now: Instant): number {
-    this.longestMs = Math.max(this.longestMs, spanMs)
+    this.retentionMs = Math.max(this.retentionMs, spanMs)
     return this.sentAt.filter((at) => at > now - spanMs).length
   }
 
   /**
-   * @param most what may be sent in any span
-   * @param spanMs its length, in milliseconds
-   * @param now the present
-   * @returns from when one more may be sent, `now` if it may be at once; Infinity if nothing may be sent
+   * @param maxRequests how many requests may be sent in any window
+   * @param spanMs length of the window, in milliseconds
+   * @param now the current time
+   * @returns the earliest time for the next request: `now` if it may be sent at once, Infinity if `maxRequests` is 0
    */
-  getFreeAt (most: number, spanMs: number, now: Instant): Instant {
-    this.longestMs = Math.max(this.longestMs, spanMs)
-    if (most <= 0) return Infinity
-    const binding = this.sentAt.at(-most)
-    return binding === undefined ? now : Math.max(now, binding + spanMs)
+  getFreeAt (maxRequests: number, spanMs: number, now: Instant): Instant {
+    this.retentionMs = Math.max(this.retentionMs, spanMs)
+    if (maxRequests <= 0) return Infinity
+    const oldestCounted = this.sentAt.at(-maxRequests)
+    return oldestCounted === undefined ? now : Math.max(now, oldestCounted + spanMs)
   }
 }
--- a/packages/steering/test/common/rateLimits/rateAllowance.test.ts
+++ b/packages/steering/test/common/rateLimits/rateAllowance.test.ts
@@ -12,72 +12,72 @@
 const perSecond = fc.double({ min: 0, max: 200, noNaN: true })
 const tolerance = { factor: 1.5, slack: 5 }
 
-describe('division by weight', () => {
+describe('divideByWeight', () => {
   it('adds up, stays within one of the exact parts, and does not depend on the order', () => {
-    const claimants = fc.uniqueArray(fc.record({ name: fc.string(), weight: fc.double({ min: 0, max: 1_000, noNaN: true }) }), { selector: ({ name }) => name, minLength: 1, maxLength: 60 })
-    fc.assert(fc.property(fc.nat(10_000), claimants, (total, all) => {
-      const parts = divideByWeight(total, all, 'key')
-      assert.equal([...parts.values()].reduce((sum, part) => sum + part, 0), total)
-      assert.deepEqual(new Map([...divideByWeight(total, [...all].reverse(), 'key')].reverse()), parts)
-      const sum = all.reduce((whole, { weight }) => whole + weight, 0)
-      for (const { name, weight } of all) {
-        const exact = total * (sum === 0 ? 1 / all.length : weight / sum)
-        assert.ok(Math.abs(parts.get(name)! - exact) <= 1 + 1e-6 * total)
+    const recipientLists = fc.uniqueArray(fc.record({ name: fc.string(), weight: fc.double({ min: 0, max: 1_000, noNaN: true }) }), { selector: ({ name }) => name, minLength: 1, maxLength: 60 })
+    fc.assert(fc.property(fc.nat(10_000), recipientLists, (units, recipients) => {
+      const parts = divideByWeight(units, recipients, 'key')
+      assert.equal([...parts.values()].reduce((sum, part) => sum + part, 0), units)
+      assert.deepEqual(new Map([...divideByWeight(units, [...recipients].reverse(), 'key')].reverse()), parts)
+      const sum = recipients.reduce((all, { weight }) => all + weight, 0)
+      for (const { name, weight } of recipients) {
+        const exact = units * (sum === 0 ? 1 / recipients.length : weight / sum)
+        assert.ok(Math.abs(parts.get(name)! - exact) <= 1 + 1e-6 * units)
       }
     }), { seed: SEED })
   })
 })
 
-describe('the division of a rate limit among entry VMs', () => {
-  // Guards against entry VMs that together exceed a limit which none of them exceeds alone.
-  it('lets all of them together send no more in any window than the limit, and no more than tolerated rather than refuse', () => {
-    fc.assert(fc.property(perSecond, nodes, demand, (rate, all, regions) => {
-      const allowances = [...divideRateLimit({ perSecond: rate, workerId: 'w-1', tolerance }, all, regions).values()]
+describe('divideRateLimit', () => {
+  // Guards against entry VMs that together exceed a limit although none of them exceeds its part.
+  it('keeps all VMs together within the limit, and within the tolerated excess, in any window', () => {
+    fc.assert(fc.property(perSecond, nodes, demand, (rate, allNodes, demandByDomain) => {
+      const allowances = [...divideRateLimit({ perSecond: rate, workerId: 'w-1', tolerance }, allNodes, demandByDomain).values()]
       const { windowMs } = allowances[0]!
-      const most = rate * windowMs / 1_000
+      const limit = rate * windowMs / 1_000
       const named = allowances.reduce((total, allowance) => total + allowance.named, 0)
-      assert.ok(named <= most + 1e-6)
-      assert.ok(named >= Math.floor(most - 1e-6), 'nothing is left unused')
-      assert.ok(allowances.reduce((total, allowance) => total + allowance.tolerated, 0) <= most * tolerance.factor + tolerance.slack)
+      assert.ok(named <= limit + 1e-6)
+      assert.ok(named >= Math.floor(limit - 1e-6), 'no part of the limit is left unused')
+      assert.ok(allowances.reduce((total, allowance) => total + allowance.tolerated, 0) <= limit * tolerance.factor + tolerance.slack)
       assert.ok(allowances.every((allowance) => allowance.tolerated >= allowance.named))
     }), { seed: SEED })
   })
 
-  // Guards against a limit that VMs without a part never learn the end of, and against their tries exceeding it.
-  it('lets VMs without a part try again, within a tenth of the limit', () => {
-    fc.assert(fc.property(perSecond, nodes, demand, (limit, all, regions) => {
-      const without = [...divideRateLimit({ perSecond: limit, workerId: 'w-1', tolerance }, all, regions).values()].filter(({ named }) => named === 0)
-      const rate = without.reduce((sum, { probeIntervalMs }) => sum + 1_000 / probeIntervalMs, 0)
-      assert.ok(rate <= Math.max(Math.max(1, limit) * 0.1, without.length / 600) + 1e-9)
-      assert.ok(without.length === 0 || rate > 0)
+  // Guards against VMs without a part that never notice the end of a limit, or whose probe requests exceed it.
+  it('lets VMs without a part send probe requests, within a tenth of the limit', () => {
+    fc.assert(fc.property(perSecond, nodes, demand, (limit, allNodes, demandByDomain) => {
+      const nodesWithoutPart = [...divideRateLimit({ perSecond: limit, workerId: 'w-1', tolerance }, allNodes, demandByDomain).values()].filter(({ named }) => named === 0)
+      const rate = nodesWithoutPart.reduce((sum, { probeIntervalMs }) => sum + 1_000 / probeIntervalMs, 0)
+      assert.ok(rate <= Math.max(Math.max(1, limit) * 0.1, nodesWithoutPart.length / 600) + 1e-9)
+      assert.ok(nodesWithoutPart.length === 0 || rate > 0)
     }), { seed: SEED })
   })
 
-  it('divides the part of a failure domain among its VMs', () => {
-    const fleet: SendingNode[] = [{ name: 'vm-1', domain: 'north' }, { name: 'vm-2', domain: 'south' }, { name: 'vm-3', domain: 'south' }]
-    const parts = divideRateLimit({ perSecond: 10, workerId: 'w-1', tolerance: { factor: 1, slack: 0 } }, fleet, new Map([['north', 0.5], ['south', 0.5]]))
+  it('divides the part of a failure domain equally among its VMs', () => {
+    const allNodes: SendingNode[] = [{ name: 'vm-1', domain: 'north' }, { name: 'vm-2', domain: 'south' }, { name: 'vm-3', domain: 'south' }]
+    const parts = divideRateLimit({ perSecond: 10, workerId: 'w-1', tolerance: { factor: 1, slack: 0 } }, allNodes, new Map([['north', 0.5], ['south', 0.5]]))
     assert.deepEqual([...parts.values()].map(({ named }) => named), [20, 10, 10])
   })
 
-  it('gives the VMs most of which the worker is meant to get most', () => {
-    const fleet: SendingNode[] = Array.from({ length: 12 }, (_, index) => ({ name: `vm-${index}`, domain: DOMAINS[Math.floor(index / 4)]! }))
-    const allowances = divideRateLimit({ perSecond: 10.1, workerId: 'w-1', tolerance }, fleet, new Map([['north', 0.9], ['south', 0.05], ['east', 0.05]]))
-    const near = fleet.filter(({ domain }) => domain === 'north').reduce((sum, { name }) => sum + allowances.get(name)!.named, 0)
-    assert.equal(near, 36)
+  it('gives the largest parts to the VMs that are expected to send the most requests', () => {
+    const allNodes: SendingNode[] = Array.from({ length: 12 }, (_, index) => ({ name: `vm-${index}`, domain: DOMAINS[Math.floor(index / 4)]! }))
+    const allowances = divideRateLimit({ perSecond: 10.1, workerId: 'w-1', tolerance }, allNodes, new Map([['north', 0.9], ['south', 0.05], ['east', 0.05]]))
+    const northRequests = allNodes.filter(({ domain }) => domain === 'north').reduce((sum, { name }) => sum + allowances.get(name)!.named, 0)
+    assert.equal(northRequests, 36)
   })
 })
 
-describe('the meter of sends', () => {
-  it('lets no span bring more than allowed, and refuses nothing that a span has room for', () => {
-    fc.assert(fc.property(fc.integer({ min: 1, max: 5 }), fc.integer({ min: 1, max: 100 }), fc.array(fc.nat(50), { maxLength: 100 }), (most, spanMs, gaps) => {
+describe('SendMeter', () => {
+  it('allows exactly the maximum number of requests in any window', () => {
+    fc.assert(fc.property(fc.integer({ min: 1, max: 5 }), fc.integer({ min: 1, max: 100 }), fc.array(fc.nat(50), { maxLength: 100 }), (maxRequests, spanMs, gaps) => {
       const meter = new SendMeter()
       const sent: number[] = []
       let now = 0
       for (const gap of gaps) {
         now += gap
         const inSpan = sent.filter((at) => at > now - spanMs).length
-        const freeAt = meter.getFreeAt(most, spanMs, now)
-        assert.equal(freeAt <= now, inSpan < most)
+        const freeAt = meter.getFreeAt(maxRequests, spanMs, now)
+        assert.equal(freeAt <= now, inSpan < maxRequests)
         if (freeAt > now) continue
         meter.record(now)
         sent.push(now)
@@ -85,7 +85,7 @@
     }), { seed: SEED })
   })
 
-  it('allows nothing at an allowance of 0', () => {
+  it('allows no request at a maximum of 0', () => {
     assert.equal(new SendMeter().getFreeAt(0, 1_000, 5), Infinity)
   })
 })
