--- a/packages/steering/src/common/quarantine/suspectTable.ts
+++ b/packages/steering/src/common/quarantine/suspectTable.ts
@@ -1,26 +1,25 @@
 /**
- * Decides which requests are quarantined, from crashes that this entry VM saw and
- * those that others report.
+ * Decides which requests are quarantined, based on the worker crashes that this entry VM
+ * observed and those that other entry VMs report.
  *
- * A crash breaks off everything that its worker held, so most reports name requests
- * that did no harm. Two conditions tell them apart. Several workers must have crashed
- * under the request, and at least one of them must have got it after an earlier crash under it was
- * known: requests that were in flight at a rack when it lost power do not meet the
- * second. And an answer refutes the crashes known by then.
+ * A crash interrupts all requests in flight at the worker, so most reports are about
+ * requests that didn't cause it. A request is quarantined only if several workers crashed
+ * under it, and at least one of them received it after an earlier crash under it was known.
+ * The second condition excludes requests that were in flight at a rack when it lost power.
+ * An answer to the request refutes the crashes that were known by then.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import type { CrashReport } from './crashReport.js'
 
-/** Workers that crash under a request before it is quarantined. */
-const LEAST_WORKERS = 3
-const LEAST_ROUNDS = 2
-/** Requests remembered at most; a report takes about 100 bytes. */
+const MIN_CRASHED_WORKERS = 3
+const MIN_HIGHEST_ROUND = 2
+/** Bounds the memory of the table; one report takes about 100 bytes. */
 const MAX_SUSPECTS = 4_096
 
-/** How far a report is trusted. */
+/** Whether a reported crash is certain. */
 export enum ReportState {
-  /** Not known yet whether the worker crashed or only a connection broke. */
+  /** It isn't known yet whether the worker crashed or only a connection was lost. */
   Pending = 'pending',
   Confirmed = 'confirmed'
 }
@@ -31,28 +30,28 @@
   readonly expiresAt: Deadline
 }
 
-/** What is known of one request. */
+/** The evidence about one request. */
 interface Suspect {
-  /** By worker. */
+  /** Crashes under the request, by worker id. */
   readonly crashes: Map<string, Crash>
-  /** Workers whose crashes are refuted, with when that is forgotten. */
+  /** When the refutation of a worker's crash expires, by worker id. */
   readonly refuted: Map<string, Deadline>
   quarantinedUntil: Deadline
 }
 
-/** The requests that one entry VM suspects. */
+/** The requests that one entry VM suspects of crashing workers. */
 export class SuspectTable {
   private readonly suspects = new Map<string, Suspect>()
 
-  /** @returns whether there is nothing to look requests up in */
+  /** @returns whether no request is suspected, so that callers can skip the lookup */
   get isEmpty (): boolean {
     return this.suspects.size === 0
   }
 
   /**
-   * @param digest a request
-   * @param now the present
-   * @returns the round of a crash under it if it were sent now, 1 the first
+   * @param digest the request's digest
+   * @param now the current time
+   * @returns the round to report if the request is sent now and its worker crashes; 1 is the first
    */
   getNextRound (digest: string, now: Instant): number {
     const suspect = this.suspects.get(digest)
@@ -64,55 +63,69 @@
   }
 
   /**
-   * @param report a crash
-   * @param state whether it is certain; a certain one stays so
-   * @param now the present
-   * @param expiresAt when it is forgotten
-   * @returns whether it was not known before in that state
+   * Records a crash.
+   * @param report the crash
+   * @param state whether it is certain; a confirmed crash stays confirmed
+   * @param now the current time
+   * @param expiresAt when the record expires; it is ignored if this has passed
+   * @returns whether this changed the table
    */
   putCrash ({ digest, workerId, round }: CrashReport, state: ReportState, now: Instant, expiresAt: Deadline): boolean {
     if (hasPassed(expiresAt, now)) return false
-    const { crashes } = this.readSuspect(digest, now)
-    const known = crashes.get(workerId)
-    if (known !== undefined && (known.state === ReportState.Confirmed || known.state === state)) return false
-    crashes.set(workerId, { round: known?.round ?? round, state, expiresAt })
+    const { crashes } = this.getOrAddSuspect(digest, now)
+    const previous = crashes.get(workerId)
+    if (previous !== undefined && (previous.state === ReportState.Confirmed || previous.state === state)) return false
+    crashes.set(workerId, { round: previous?.round ?? round, state, expiresAt })
     return true
   }
 
-  /** Forgets a crash that turned out to be a broken connection. */
+  /**
+   * Removes a crash that turned out to be a lost connection.
+   * @param digest the request's digest
+   * @param workerId the worker that didn't crash
+   */
   removeCrash (digest: string, workerId: string): void {
     this.suspects.get(digest)?.crashes.delete(workerId)
   }
 
   /**
-   * Takes over that a worker answered a request, which refutes crashes known by then.
-   * @param digest the request
+   * Records that a worker answered a request, which refutes the crashes known by then.
+   * @param digest the request's digest
    * @param workerIds the workers whose crashes are refuted
-   * @param expiresAt when that is forgotten; not before the reports that it refutes
+   * @param now the current time
+   * @param expiresAt when the refutation expires; not before the reports that it refutes
    */
   putAnswer (digest: string, workerIds: Iterable<string>, now: Instant, expiresAt: Deadline): void {
     if (hasPassed(expiresAt, now)) return
-    const suspect = this.readSuspect(digest, now)
+    const suspect = this.getOrAddSuspect(digest, now)
     for (const workerId of workerIds) suspect.refuted.set(workerId, expiresAt)
   }
 
-  /** Quarantines a request; a later end than the one known holds. */
+  /**
+   * Quarantines a request, or extends its quarantine; an earlier end than the present one is ignored.
+   * @param digest the request's digest
+   * @param until when the quarantine ends
+   * @param now the current time
+   */
   putQuarantine (digest: string, until: Deadline, now: Instant): void {
     if (hasPassed(until, now)) return
-    const suspect = this.readSuspect(digest, now)
+    const suspect = this.getOrAddSuspect(digest, now)
     suspect.quarantinedUntil = Math.max(suspect.quarantinedUntil, until)
   }
 
-  /** Ends a quarantine early. */
+  /**
+   * Ends a quarantine early.
+   * @param digest the request's digest
+   */
   removeQuarantine (digest: string): void {
     const suspect = this.suspects.get(digest)
     if (suspect !== undefined) suspect.quarantinedUntil = Number.NEGATIVE_INFINITY
   }
 
   /**
-   * @param digest a request
-   * @param workerIds workers that are said to have crashed under it
-   * @returns whether answers refute all of that
+   * @param digest the request's digest
+   * @param workerIds the workers that are reported to have crashed under it
+   * @returns whether answers refute the crashes of all these workers; false for an empty list
    */
   isRefuted (digest: string, workerIds: readonly string[]): boolean {
     const refuted = this.suspects.get(digest)?.refuted
@@ -120,18 +133,19 @@
   }
 
   /**
-   * @param digest a request
-   * @param now the present
-   * @returns whether the confirmed crashes are reason enough to quarantine it
+   * @param digest the request's digest
+   * @param now the current time
+   * @returns whether the confirmed crashes suffice to quarantine the request
    */
   isEvident (digest: string, now: Instant): boolean {
     return this.hasEvidence(digest, now, ReportState.Confirmed)
   }
 
   /**
-   * @param digest a request
-   * @param now the present
-   * @returns until when it must not be sent, `now` if only pending reports speak against it; undefined if it may be sent
+   * @param digest the request's digest
+   * @param now the current time
+   * @returns until when the request must not be sent: the end of its quarantine, or `now` if it isn't quarantined but
+   * pending and confirmed crashes together would suffice; undefined if it may be sent
    */
   getBlockedUntil (digest: string, now: Instant): Deadline | undefined {
     const suspect = this.suspects.get(digest)
@@ -141,26 +155,32 @@
   }
 
   /**
-   * @param digest a request
-   * @param now the present
-   * @returns the workers that crashed under it, as far as no answer refutes that
+   * @param digest the request's digest
+   * @param now the current time
+   * @returns the ids of the workers that crashed under it, without refuted crashes
    */
   listWorkers (digest: string, now: Instant): string[] {
     const suspect = this.suspects.get(digest)
     return suspect === undefined ? [] : this.listCrashes(suspect, now).map(([workerId]) => workerId)
   }
 
-  /** @returns how many requests are quarantined */
+  /**
+   * @param now the current time
+   * @returns how many requests are quarantined
+   */
   countQuarantined (now: Instant): number {
     return [...this.suspects.values()].filter(({ quarantinedUntil }) => !hasPassed(quarantinedUntil, now)).length
   }
 
-  /** @returns how many requests are remembered */
+  /** @returns how many requests the table holds */
   countSuspects (): number {
     return this.suspects.size
   }
 
-  /** Forgets what has expired. */
+  /**
+   * Removes expired crashes, refutations and quarantines.
+   * @param now the current time
+   */
   removeExpired (now: Instant): void {
     for (const [digest, { crashes, refuted, quarantinedUntil }] of this.suspects) {
       for (const [workerId, { expiresAt }] of crashes) {
@@ -173,18 +193,18 @@
     }
   }
 
-  private hasEvidence (digest: string, now: Instant, least: ReportState): boolean {
+  private hasEvidence (digest: string, now: Instant, minState: ReportState): boolean {
     const suspect = this.suspects.get(digest)
     if (suspect === undefined) return false
-    const crashes = this.listCrashes(suspect, now).filter(([, { state }]) => state === ReportState.Confirmed || state === least)
-    return crashes.length >= LEAST_WORKERS && crashes.some(([, { round }]) => round >= LEAST_ROUNDS)
+    const crashes = this.listCrashes(suspect, now).filter(([, { state }]) => state === ReportState.Confirmed || state === minState)
+    return crashes.length >= MIN_CRASHED_WORKERS && crashes.some(([, { round }]) => round >= MIN_HIGHEST_ROUND)
   }
 
   private listCrashes ({ crashes, refuted }: Suspect, now: Instant): Array<readonly [string, Crash]> {
     return [...crashes].filter(([workerId, { expiresAt }]) => !refuted.has(workerId) && !hasPassed(expiresAt, now))
   }
 
-  private readSuspect (digest: string, now: Instant): Suspect {
+  private getOrAddSuspect (digest: string, now: Instant): Suspect {
     let suspect = this.suspects.get(digest)
     if (suspect === undefined) {
       suspect = { crashes: new Map(), refuted: new Map(), quarantinedUntil: Number.NEGATIVE_INFINITY }
@@ -194,7 +214,7 @@
     return suspect
   }
 
-  /** Quarantined requests go last: forgetting one costs workers. */
+  /** Never evicts a quarantined request, as it would crash further workers. */
   private evictOldest (now: Instant): void {
     for (const [digest, { quarantinedUntil }] of this.suspects) {
       if (!hasPassed(quarantinedUntil, now)) continue
@@ -204,7 +224,14 @@
   }
 }
 
-/** @returns the deadline of something that expires at a wall time, on the steady clock, and no later than a span from now */
-export function toDeadline (expiresAt: number, wallTime: number, now: Instant, longestMs: number): Deadline {
-  return createDeadline(now, Math.min(longestMs, Math.max(0, expiresAt - wallTime)))
+/**
+ * Converts an expiry in wall time into a deadline on the monotonic clock.
+ * @param expiresAt the expiry in wall time, in milliseconds since 1970
+ * @param wallTime the current wall time, in milliseconds since 1970
+ * @param now the current time on the monotonic clock
+ * @param maxMs the longest time until the deadline, in milliseconds, in case the wall clock is wrong
+ * @returns the deadline, not before `now`
+ */
+export function toDeadline (expiresAt: number, wallTime: number, now: Instant, maxMs: number): Deadline {
+  return createDeadline(now, Math.min(maxMs, Math.max(0, expiresAt - wallTime)))
 }
--- a/packages/steering/src/common/quota/quotaBuckets.ts
+++ b/packages/steering/src/common/quota/quotaBuckets.ts
@@ -87,7 +87,7 @@
    * @returns what is granted; undefined if this VM doesn't own the share or the account has no known quota
    */
   take (share: string, account: string, wanted: number, unused: number, now: Instant): QuotaGrant | undefined {
-    const bucket = this.readBucket(share, account)
+    const bucket = this.getOrAddBucket(share, account)
     if (bucket === undefined) return undefined
     if (unused > 0) bucket.return(unused, now)
     const given = bucket.take(wanted, now)
@@ -102,7 +102,7 @@
     }
   }
 
-  private readBucket (share: string, name: string): QuotaBucket | undefined {
+  private getOrAddBucket (share: string, name: string): QuotaBucket | undefined {
     const ownedShare = this.ownedShares.get(share)
     const account = this.accounts.get(name)
     if (ownedShare === undefined || account === undefined) return undefined
--- a/packages/steering/test/common/quarantine/quarantineFleet.ts
+++ b/packages/steering/test/common/quarantine/quarantineFleet.ts
@@ -1,54 +1,54 @@
 /**
- * Entry VMs that share crash reports with a delay, and callers that send a request
- * under which every worker crashes. Simulated time.
+ * Simulates entry VMs that share crash reports with a delay, and callers that send them a
+ * request that crashes every worker. Runs in simulated time.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { ReportState, SuspectTable } from '../../../src/common/quarantine/suspectTable.js'
 
-/** One attempt of a caller. */
+/** One request of a caller. */
 export interface Arrival {
   readonly at: Instant
-  /** The VM that gets it. */
+  /** The index of the entry VM that receives it. */
   readonly vm: number
 }
 
-/** The deployment. */
+/** The size and the delays of the simulated deployment; durations in milliseconds. */
 export interface FleetOptions {
   readonly vms: number
-  /** Workers that one attempt may be sent to. */
+  /** How many workers the VM tries for each arrival. */
   readonly attempts: number
-  /** From the start of a run to the crash. */
+  /** From sending the request to a worker until the worker crashes. */
   readonly crashAfterMs: number
-  /** From a crash to the confirmation by a refused connection. */
+  /** From a crash until a refused connection confirms it. */
   readonly checkMs: number
-  /** From a report's writing until the last VM knows it. */
+  /** From writing a report until all other VMs have received it. */
   readonly shareMs: number
-  /** Whether VMs learn from each other at all. */
+  /** Whether VMs receive the reports of other VMs. */
   readonly isShared: boolean
 }
 
-/** What happened. */
+/** When the request was sent to workers, and when workers crashed. */
 export interface FleetResult {
   readonly sends: readonly Instant[]
   readonly crashes: readonly Instant[]
 }
 
 const DIGEST = 'request'
-const SPAN_MS = 600_000
+const RETENTION_MS = 600_000
 
-/** Runs all arrivals to their end. */
+/** Simulates all arrivals until nothing is scheduled any more. */
 export function runFleet (arrivals: readonly Arrival[], options: FleetOptions): FleetResult {
   return new Fleet(options).run(arrivals)
 }
 
-interface Action {
+interface ScheduledAction {
   readonly at: Instant
   readonly run: (now: Instant) => void
 }
 
 class Fleet {
   private readonly tables: SuspectTable[]
-  private actions: Action[] = []
+  private actions: ScheduledAction[] = []
   private readonly sends: Instant[] = []
   private readonly crashes: Instant[] = []
 
@@ -66,8 +66,8 @@
     this.actions.push({ at, run })
   }
 
-  private takeNext (): Action | undefined {
-    const next = this.actions.reduce<Action | undefined>((first, action) => first === undefined || action.at < first.at ? action : first, undefined)
+  private takeNext (): ScheduledAction | undefined {
+    const next = this.actions.reduce<ScheduledAction | undefined>((first, action) => first === undefined || action.at < first.at ? action : first, undefined)
     this.actions = this.actions.filter((action) => action !== next)
     return next
   }
@@ -80,7 +80,7 @@
     const { crashAfterMs, checkMs, shareMs, isShared } = this.options
     this.schedule(now + crashAfterMs, (crashedAt) => {
       this.crashes.push(crashedAt)
-      table.putCrash(report, ReportState.Pending, crashedAt, crashedAt + SPAN_MS)
+      table.putCrash(report, ReportState.Pending, crashedAt, crashedAt + RETENTION_MS)
       this.schedule(crashedAt + checkMs, (at) => { this.putReport(table, report, at) })
       const others = isShared ? this.tables.filter((other) => other !== table) : []
       for (const other of others) this.schedule(crashedAt + checkMs + shareMs, (at) => { this.putReport(other, report, at) })
@@ -89,7 +89,7 @@
   }
 
   private putReport (table: SuspectTable, report: { digest: string, workerId: string, round: number }, now: Instant): void {
-    table.putCrash(report, ReportState.Confirmed, now, now + SPAN_MS)
-    if (table.isEvident(DIGEST, now)) table.putQuarantine(DIGEST, now + SPAN_MS, now)
+    table.putCrash(report, ReportState.Confirmed, now, now + RETENTION_MS)
+    if (table.isEvident(DIGEST, now)) table.putQuarantine(DIGEST, now + RETENTION_MS, now)
   }
 }
--- a/packages/steering/test/common/quarantine/suspectTable.test.ts
+++ b/packages/steering/test/common/quarantine/suspectTable.test.ts
@@ -5,17 +5,17 @@
 import { type FleetOptions, runFleet } from './quarantineFleet.js'
 
 const SEED = 34
-const LATER = 60_000
-/** Further sends that operators allow once the stability span has passed after the third crash. */
-const MOST_LATE_SENDS = 3
+const EXPIRES_AT = 60_000
+/** How many sends are tolerated later than `STABILITY_MS` after the third crash. */
+const MAX_LATE_SENDS = 3
 const STABILITY_MS = 3_000
 
 function putCrash (table: SuspectTable, workerId: string, round: number, now = 0): void {
-  table.putCrash({ digest: 'a', workerId, round }, ReportState.Confirmed, now, LATER)
+  table.putCrash({ digest: 'a', workerId, round }, ReportState.Confirmed, now, EXPIRES_AT)
 }
 
-describe('the suspect table', () => {
-  it('finds evidence in three workers of which one got the request after an earlier crash was known', () => {
+describe('SuspectTable', () => {
+  it('finds a request evident after three crashes, one of them under a request sent after an earlier crash was known', () => {
     const table = new SuspectTable()
     putCrash(table, 'w-1', 1)
     putCrash(table, 'w-2', table.getNextRound('a', 0))
@@ -26,7 +26,7 @@
   })
 
   // Guards against a quarantine of requests that were in flight at a rack when it lost power.
-  it('finds none in any number of workers that crash at the same time', () => {
+  it('never finds a request evident if all workers crash at the same time', () => {
     fc.assert(fc.property(fc.integer({ min: 1, max: 200 }), (workers) => {
       const table = new SuspectTable()
       for (let index = 0; index < workers; index++) putCrash(table, `w-${index}`, 1)
@@ -34,12 +34,12 @@
     }), { seed: SEED })
   })
 
-  // Guards against a quarantine of popular requests beside one that crashes workers.
-  it('finds none in crashes that an answer refutes, and counts those after it', () => {
+  // Guards against a quarantine of frequent requests that are in flight beside one that crashes workers.
+  it('ignores crashes that an answer refutes, and counts later ones', () => {
     const table = new SuspectTable()
     putCrash(table, 'w-1', 1)
     putCrash(table, 'w-2', 2)
-    table.putAnswer('a', table.listWorkers('a', 0), 0, LATER)
+    table.putAnswer('a', table.listWorkers('a', 0), 0, EXPIRES_AT)
     assert.ok(table.isRefuted('a', ['w-1', 'w-2']))
     assert.ok(!table.isRefuted('a', ['w-2', 'w-3']) && !table.isRefuted('b', ['w-1']))
     assert.equal(table.getNextRound('a', 0), 1)
@@ -50,18 +50,18 @@
     assert.ok(table.isEvident('a', 0))
   })
 
-  it('blocks a request while reports that are not confirmed speak against it, and no longer', () => {
+  it('blocks a request only as long as pending reports would suffice for a quarantine', () => {
     const table = new SuspectTable()
     putCrash(table, 'w-1', 1)
     putCrash(table, 'w-2', 2)
-    table.putCrash({ digest: 'a', workerId: 'w-3', round: 3 }, ReportState.Pending, 0, LATER)
+    table.putCrash({ digest: 'a', workerId: 'w-3', round: 3 }, ReportState.Pending, 0, EXPIRES_AT)
     assert.equal(table.getBlockedUntil('a', 0), 0)
     assert.ok(!table.isEvident('a', 0))
     table.removeCrash('a', 'w-3')
     assert.equal(table.getBlockedUntil('a', 0), undefined)
   })
 
-  it('ends a quarantine when it expires, or is ended early', () => {
+  it('ends a quarantine when it expires or is removed', () => {
     const table = new SuspectTable()
     table.putQuarantine('a', 100, 0)
     table.putQuarantine('b', 100, 0)
@@ -73,16 +73,16 @@
     assert.ok(table.isEmpty)
   })
 
-  // Guards against requests without number that fill the memory, and against quarantines that are lost by that.
-  it('forgets the oldest requests, but no quarantined one', () => {
+  // Guards against an unlimited number of suspected requests in memory, and against quarantines that are lost by eviction.
+  it('evicts the oldest requests, but never a quarantined one', () => {
     const table = new SuspectTable()
-    table.putQuarantine('first', LATER, 0)
-    for (let index = 0; index < 10_000; index++) table.putCrash({ digest: `d-${index}`, workerId: 'w', round: 1 }, ReportState.Confirmed, 0, LATER)
+    table.putQuarantine('first', EXPIRES_AT, 0)
+    for (let index = 0; index < 10_000; index++) table.putCrash({ digest: `d-${index}`, workerId: 'w', round: 1 }, ReportState.Confirmed, 0, EXPIRES_AT)
     assert.ok(table.countSuspects() <= 4_096)
-    assert.equal(table.getBlockedUntil('first', 0), LATER)
+    assert.equal(table.getBlockedUntil('first', 0), EXPIRES_AT)
   })
 
-  it('takes wall times over as deadlines, whatever the wall clock does', () => {
+  it('converts wall times into deadlines that stay in bounds if the wall clock is wrong', () => {
     assert.equal(toDeadline(5_000, 2_000, 10, 100_000), 3_010)
     assert.equal(toDeadline(5_000, 9_000, 10, 100_000), 10)
     assert.equal(toDeadline(900_000_000, 0, 10, 100_000), 100_010)
@@ -108,26 +108,26 @@
     })
   }
 
-  // Guards against a request that goes on crashing workers because each VM sees a part of the crashes only.
-  it('send it no more than three times once the stability span has passed after the third crash', () => {
+  // Guards against a request that keeps crashing workers because each VM observes only some of the crashes.
+  it('send the request at most three more times once the stability period after the third crash has passed', () => {
     fc.assert(fc.property(gaps, options, (steps, fleet) => {
       const { sends, crashes } = runFleet(listArrivals(steps, fleet), fleet)
-      const third = crashes.toSorted((left, right) => left - right)[2]
-      if (third === undefined) return
-      const late = sends.filter((at) => at > third + STABILITY_MS)
-      assert.ok(late.length <= MOST_LATE_SENDS, `${late.length} late sends`)
+      const thirdCrashAt = crashes.toSorted((left, right) => left - right)[2]
+      if (thirdCrashAt === undefined) return
+      const lateSends = sends.filter((at) => at > thirdCrashAt + STABILITY_MS)
+      assert.ok(lateSends.length <= MAX_LATE_SENDS, `${lateSends.length} late sends`)
     }), { seed: SEED, numRuns: 300 })
   })
 
-  it('lose far fewer workers than if each VM learned for itself', () => {
+  it('lose far fewer workers than VMs that do not share reports', () => {
     const arrivals = Array.from({ length: 60 }, (_, index) => ({ at: index * 330, vm: index * 7 }))
     for (const vms of [12, 69, 195]) {
       const fleet = { vms, attempts: 2, crashAfterMs: 80, checkMs: 10, shareMs: 800 }
       const steps = arrivals.map(({ at, vm }) => ({ at, vm: vm % vms }))
-      const shared = runFleet(steps, { ...fleet, isShared: true }).crashes.length
-      const alone = runFleet(steps, { ...fleet, isShared: false }).crashes.length
-      assert.ok(shared <= 8, `${shared} crashes of ${vms} VMs`)
-      assert.ok(alone >= 4 * shared, `${alone} crashes without reports`)
+      const crashesWithSharing = runFleet(steps, { ...fleet, isShared: true }).crashes.length
+      const crashesWithoutSharing = runFleet(steps, { ...fleet, isShared: false }).crashes.length
+      assert.ok(crashesWithSharing <= 8, `${crashesWithSharing} crashes with ${vms} VMs`)
+      assert.ok(crashesWithoutSharing >= 4 * crashesWithSharing, `${crashesWithoutSharing} crashes without shared reports`)
     }
   })
 })
