--- a/packages/steering/src/common/rateLimits/rateAllowance.ts
+++ b/packages/steering/src/common/rateLimits/rateAllowance.ts
@@ -41,7 +41,7 @@
   readonly windowMs: number
   /** The VM's part of the worker's limit, in requests. */
   readonly named: number
-  /** The VM's part of the limit with the tolerated excess, in requests; at least `named`. */
+  /** The VM's part of the limit with the tolerated excess, in requests; at least {@link RateAllowance.named}. */
   readonly tolerated: number
   /** For a VM whose part is 0: the interval between probe requests, in milliseconds. */
   readonly probeIntervalMs: number
@@ -73,5 +73,5 @@
   const excessParts = divideByWeight(excess, recipients, `${workerId}/excess`)
   const nodesWithoutPart = [...requestParts.values()].filter((part) => part === 0).length
   const probeIntervalMs = Math.min(MAX_PROBE_INTERVAL_MS, Math.max(MIN_PROBE_INTERVAL_MS, nodesWithoutPart * MS_PER_SECOND / (Math.max(MIN_PROBED_LIMIT_PER_SECOND, perSecond) * MAX_PROBE_RATIO)))
-  return new Map([...requestParts].map(([name, part]) => [name, { windowMs, named: part, tolerated: part + excessParts.get(name)!, probeIntervalMs }]))
+  return new Map([...requestParts].map(([name, part]): [string, RateAllowance] => [name, { windowMs, named: part, tolerated: part + excessParts.get(name)!, probeIntervalMs }]))
 }
--- a/packages/steering/test/common/rateLimits/rateAllowance.test.ts
+++ b/packages/steering/test/common/rateLimits/rateAllowance.test.ts
@@ -35,9 +35,9 @@
       const allowances = [...divideRateLimit({ perSecond: rate, workerId: 'w-1', tolerance }, allNodes, demandByDomain).values()]
       const { windowMs } = allowances[0]!
       const limit = rate * windowMs / 1_000
-      const named = allowances.reduce((total, allowance) => total + allowance.named, 0)
-      assert.ok(named <= limit + 1e-6)
-      assert.ok(named >= Math.floor(limit - 1e-6), 'no part of the limit is left unused')
+      const totalRequests = allowances.reduce((total, allowance) => total + allowance.named, 0)
+      assert.ok(totalRequests <= limit + 1e-6)
+      assert.ok(totalRequests >= Math.floor(limit - 1e-6), 'no part of the limit is left unused')
       assert.ok(allowances.reduce((total, allowance) => total + allowance.tolerated, 0) <= limit * tolerance.factor + tolerance.slack)
       assert.ok(allowances.every((allowance) => allowance.tolerated >= allowance.named))
     }), { seed: SEED })
