--- a/packages/steering/src/common/quota/quotaBudget.ts
+++ b/packages/steering/src/common/quota/quotaBudget.ts
@@ -25,7 +25,6 @@
 
 /** The token bucket of an account in one of its shares. */
 export interface QuotaBucketParameters {
-
   readonly refillPerMs: number
   /** The most requests that accumulate while none are granted. */
   readonly capacity: number
--- a/packages/steering/src/common/rateLimits/rateAllowance.ts
+++ b/packages/steering/src/common/rateLimits/rateAllowance.ts
@@ -16,7 +16,6 @@
  * a probe request from time to time; together these stay within this fraction of the limit.
  */
 const MAX_PROBE_RATIO = 0.1
-
 const MIN_PROBE_INTERVAL_MS = 10_000
 const MAX_PROBE_INTERVAL_MS = 600_000
 /** Lower limits are probed as often as this one, so that their end is noticed eventually. */
@@ -49,7 +48,6 @@
 
 /** A rate limit that a worker set for all entry VMs together. */
 export interface RateLimit {
-
   /** Requests per second. */
   readonly perSecond: number
   readonly workerId: string
--- a/packages/steering/src/common/workers/chooseWorker.ts
+++ b/packages/steering/src/common/workers/chooseWorker.ts
@@ -9,7 +9,7 @@
 import { isOnProbation } from './ejection.js'
 import type { WorkerState } from './workerState.js'
 
-const LOAD_HALF_LIFE_MS = 1_000
+const LOAD_REPORT_HALF_LIFE_MS = 1_000
 /**
  * Limits how far a worker's reported load may differ from the median of all candidates.
  * A worker that wrongly reports to be idle or full gains or loses at most this fraction
@@ -82,7 +82,7 @@
   const ageMs = Math.max(0, now - worker.load.takenAt)
   const difference = Math.min(1, Math.max(0, worker.load.utilization)) - median
   const boundedDifference = Math.min(MAX_REPORTED_LOAD_DEVIATION_RATIO, Math.max(-MAX_REPORTED_LOAD_DEVIATION_RATIO, difference))
-  return median + boundedDifference * 2 ** (-ageMs / LOAD_HALF_LIFE_MS)
+  return median + boundedDifference * 2 ** (-ageMs / LOAD_REPORT_HALF_LIFE_MS)
 }
 
 /**
@@ -110,7 +110,7 @@
  * Chooses a worker for one request.
  * @param candidates the workers of a service in one failure domain
  * @param now the current time
- * @param random the source of random numbers
+ * @param random the seeded source of random numbers
  * @param excluded ids of workers that this request has already tried
  * @returns a worker's id, or undefined if no worker can take the request now
  */
--- a/packages/steering/src/common/workers/workerState.ts
+++ b/packages/steering/src/common/workers/workerState.ts
@@ -49,7 +49,6 @@
   readonly inFlight: number
   readonly load: LoadReport | undefined
   readonly answerTime: ResponseTime | undefined
-
   readonly warmUpStartedAt: Instant
   readonly warmUpUntil: Deadline
   /** When its probes began to report that it is starting; undefined if the latest doesn't. */
--- a/packages/steering/src/common/workers/workerTable.ts
+++ b/packages/steering/src/common/workers/workerTable.ts
@@ -1,7 +1,7 @@
 /** Tracks the state of the workers of one service in one failure domain, as seen by one entry VM. */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline } from '@umberspar/base/common/deadline'
-import { listEjectedWorkers, recordFailure, recordProbeFailure, recordSuccess, endExcessEjections } from './ejection.js'
+import { endExcessEjections, listEjectedWorkers, recordFailure, recordProbeFailure, recordSuccess } from './ejection.js'
 import { createWorkerState, DEFAULT_WORKER_POLICY, type LoadReport, type MutableWorkerState, type WorkerPolicy, type WorkerState } from './workerState.js'
 
 export { DEFAULT_WORKER_POLICY } from './workerState.js'
@@ -162,7 +162,7 @@
   }
 
   /**
-   * Records a load report. Older ones are ignored, as reports may arrive out of order.
+   * Records a load report, unless a newer one is known: reports may arrive out of order.
    * @param workerId the worker's id
    * @param load the reported load; ignored if it isn't finite
    */
@@ -194,13 +194,13 @@
   /**
    * Records whether the platform removes the worker's VM; the worker counts as draining meanwhile.
    * @param workerId the worker's id
-   * @param isVmLeaving whether its VM is being removed
+   * @param isBeingRemoved whether its VM is being removed
    * @param now the current time
    */
-  markVmLeaving (workerId: string, isVmLeaving: boolean, now: Instant): void {
+  markVmLeaving (workerId: string, isBeingRemoved: boolean, now: Instant): void {
     const state = this.states.get(workerId)
-    if (state === undefined || state.isVmLeaving === isVmLeaving) return
-    state.isVmLeaving = isVmLeaving
+    if (state === undefined || state.isVmLeaving === isBeingRemoved) return
+    state.isVmLeaving = isBeingRemoved
     this.applyDrain(state, now)
   }
 
--- a/packages/steering/test/common/quarantine/suspectTable.test.ts
+++ b/packages/steering/test/common/quarantine/suspectTable.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('SuspectTable', () => {
-  it('finds a request evident after three crashes, one of them under a request sent after an earlier crash was known', () => {
+  it('finds enough evidence in three crashes if for one of them the request was sent after an earlier crash was known', () => {
     const table = new SuspectTable()
     putCrash(table, 'w-1', 1)
     putCrash(table, 'w-2', table.getNextRound('a', 0))
@@ -26,7 +26,7 @@
   })
 
   // Guards against a quarantine of requests that were in flight at a rack when it lost power.
-  it('never finds a request evident if all workers crash at the same time', () => {
+  it('never finds enough evidence in workers that crash at the same time', () => {
     fc.assert(fc.property(fc.integer({ min: 1, max: 200 }), (workers) => {
       const table = new SuspectTable()
       for (let index = 0; index < workers; index++) putCrash(table, `w-${index}`, 1)
--- a/packages/steering/test/common/rateLimits/rateAllowance.test.ts
+++ b/packages/steering/test/common/rateLimits/rateAllowance.test.ts
@@ -67,7 +67,7 @@
   })
 })
 
-describe('SendMeter', () => {
+describe('counting sends in a sliding window', () => {
   it('allows exactly the maximum number of requests in any window', () => {
     fc.assert(fc.property(fc.integer({ min: 1, max: 5 }), fc.integer({ min: 1, max: 100 }), fc.array(fc.nat(50), { maxLength: 100 }), (maxRequests, spanMs, gaps) => {
       const meter = new SendMeter()
