--- a/packages/adapters/src/node/grpc/grpcCalls.ts
+++ b/packages/adapters/src/node/grpc/grpcCalls.ts
@@ -13,7 +13,7 @@
 import { Err, Ok } from '@umberspar/base/common/result'
 
 /** A list of keys or a document comes in one message or a few; more than this is a fault. */
-const MAX_MESSAGE_BYTES = 67_108_864
+const MAX_RECEIVED_MESSAGE_BYTES = 67_108_864
 
 const CHANNEL_OPTIONS: ChannelOptions = {
   // A write must not be sent twice behind the back of its owner.
@@ -21,7 +21,7 @@
   'grpc.service_config_disable_resolution': 1,
   'grpc.enable_http_proxy': 0,
   'grpc.use_local_subchannel_pool': 1,
-  'grpc.max_receive_message_length': MAX_MESSAGE_BYTES,
+  'grpc.max_receive_message_length': MAX_RECEIVED_MESSAGE_BYTES,
   // A partition that drops packets sends no reset: an open watch would hear nothing
   // and never end. Pings find it within 13 s; servers refuse more than one in 5 s.
   'grpc.keepalive_time_ms': 10_000,
@@ -40,7 +40,7 @@
 }
 
 /** Where a call is made, for its errors. */
-export interface CallSite {
+export interface CallContext {
   readonly step: string
   readonly peer: string
   readonly effect: CallEffect
@@ -59,13 +59,13 @@
   [status.UNIMPLEMENTED]: ErrorCode.Refused
 }
 
-const CODE_OF_LOST_ANSWER: Readonly<Record<CallEffect, ErrorCode>> = {
+const CODE_WITHOUT_RESPONSE: Readonly<Record<CallEffect, ErrorCode>> = {
   [CallEffect.None]: ErrorCode.Unavailable,
   [CallEffect.Write]: ErrorCode.EffectUnknown
 }
 
 /** The statuses after which another endpoint may do better. */
-const ENDPOINT_FAILURES: ReadonlySet<status> = new Set([status.UNAVAILABLE, status.DEADLINE_EXCEEDED, status.CANCELLED, status.UNKNOWN, status.INTERNAL])
+const ENDPOINT_FAILURE_STATUSES: ReadonlySet<status> = new Set([status.UNAVAILABLE, status.DEADLINE_EXCEEDED, status.CANCELLED, status.UNKNOWN, status.INTERNAL])
 
 /** How one channel is secured. */
 export interface ChannelSecurity {
@@ -108,24 +108,24 @@
   let state = channel.getConnectivityState(true)
   while (state === connectivityState.IDLE || state === connectivityState.CONNECTING) {
     if (hasPassed(deadline, clock.now())) return false
-    await waitForChange(channel, state, clock.getWallTime() + getRemainingMs(deadline, clock.now()))
+    await waitForStateChange(channel, state, clock.getWallTime() + getRemainingMs(deadline, clock.now()))
     state = channel.getConnectivityState(true)
   }
   return state === connectivityState.READY
 }
 
-function waitForChange (channel: Channel, state: connectivityState, wallDeadline: number): Promise<void> {
+function waitForStateChange (channel: Channel, state: connectivityState, wallDeadline: number): Promise<void> {
   return new Promise((resolve) => {
     channel.watchConnectivityState(state, wallDeadline, () => resolve())
   })
 }
 
 /** A unary method of a generated client, bound to it. */
-export type UnaryMethod<Q, S> = (
-  request: Q,
+export type UnaryMethod<TRequest, TResponse> = (
+  request: TRequest,
   metadata: Metadata,
   options: Partial<CallOptions>,
-  callback: (error: ServiceError | null, response: S) => void
+  callback: (error: ServiceError | null, response: TResponse) => void
 ) => ClientUnaryCall
 
 /**
@@ -134,7 +134,7 @@
  * @param options with the deadline
  * @returns the answer, or the status as gRPC reports it
  */
-export function callUnary<Q, S> (method: UnaryMethod<Q, S>, request: Q, options: Partial<CallOptions>): Promise<Result<S, ServiceError>> {
+export function callUnary<TRequest, TResponse> (method: UnaryMethod<TRequest, TResponse>, request: TRequest, options: Partial<CallOptions>): Promise<Result<TResponse, ServiceError>> {
   return new Promise((resolve) => {
     method(request, new EmptyMetadata(), options, (error, response) => {
       resolve(error === null ? Ok(response) : Err(error))
@@ -147,35 +147,35 @@
  * @returns whether the endpoint, not the call, is at fault
  */
 export function isEndpointFailure (error: ServiceError): boolean {
-  return ENDPOINT_FAILURES.has(error.code)
+  return ENDPOINT_FAILURE_STATUSES.has(error.code)
 }
 
 /**
  * Says what a failed call means. The call may have been sent.
  * @param error gRPC's status
- * @param site where the call was made
+ * @param context where the call was made
  * @returns `EffectUnknown` for a write unless the server itself refused it
  */
-export function toCallError (error: ServiceError, site: CallSite): StepError {
-  const lost = CODE_OF_LOST_ANSWER[site.effect]
+export function toCallError (error: ServiceError, context: CallContext): StepError {
+  const codeWithoutResponse = CODE_WITHOUT_RESPONSE[context.effect]
   // A stream that was reset gets a status made up on this side, RESOURCE_EXHAUSTED
   // among them; that is not the server's word that it did nothing.
-  const code = hasBeenReset(error) ? lost : CODE_BY_STATUS[error.code] ?? lost
-  return new StepError({ code, step: site.step, peer: site.peer, message: error.message, cause: error })
+  const code = isStreamReset(error) ? codeWithoutResponse : CODE_BY_STATUS[error.code] ?? codeWithoutResponse
+  return new StepError({ code, step: context.step, peer: context.peer, message: error.message, cause: error })
 }
 
-function hasBeenReset (error: ServiceError): boolean {
+function isStreamReset (error: ServiceError): boolean {
   const resetCode: unknown = Reflect.get(error, 'rstCode')
   return typeof resetCode === 'number' && resetCode !== 0
 }
 
 /**
- * @param site where the call would have been made
- * @param isLate whether its deadline has passed
+ * @param context where the call would have been made
+ * @param isDeadlinePassed whether its deadline has passed
  * @returns the error of a call that was not made
  */
-export function createUnsentError (site: CallSite, isLate: boolean): StepError {
-  const code = isLate ? ErrorCode.DeadlinePassed : ErrorCode.Unavailable
-  const message = isLate ? 'the deadline passed before the call' : 'no connection'
-  return new StepError({ code, step: site.step, peer: site.peer, message })
+export function createUnsentError (context: CallContext, isDeadlinePassed: boolean): StepError {
+  const code = isDeadlinePassed ? ErrorCode.DeadlinePassed : ErrorCode.Unavailable
+  const message = isDeadlinePassed ? 'the deadline passed before the call' : 'no connection'
+  return new StepError({ code, step: context.step, peer: context.peer, message })
 }
--- a/packages/adapters/src/node/metrics/statsdMetrics.ts
+++ b/packages/adapters/src/node/metrics/statsdMetrics.ts
@@ -4,10 +4,10 @@
 import { LogLevel, NULL_LOGGER } from '@umberspar/base/common/logger'
 import type { IMetrics, MetricTags } from '@umberspar/base/common/metrics'
 
-const PREFIX = 'umberspar.'
+const METRIC_PREFIX = 'umberspar.'
 /** Fits one Ethernet frame with its headers. */
 const MAX_PACKET_BYTES = 1400
-const FLUSH_EVERY_MS = 1000
+const FLUSH_INTERVAL_MS = 1000
 
 /** Where measurements go. */
 export interface StatsdMetricsOptions {
@@ -23,7 +23,7 @@
   private readonly client: StatsD
   private readonly logger: ILogger
   private readonly peer: string
-  private hasFailed = false
+  private hasLoggedFailure = false
   private closing: Promise<void> | undefined
 
   constructor (options: StatsdMetricsOptions) {
@@ -32,11 +32,11 @@
     this.client = new StatsD({
       host: options.host,
       port: options.port,
-      prefix: PREFIX,
+      prefix: METRIC_PREFIX,
       globalTags: { ...options.tags },
       includeDataDogTags: false,
       maxBufferSize: MAX_PACKET_BYTES,
-      bufferFlushInterval: FLUSH_EVERY_MS,
+      bufferFlushInterval: FLUSH_INTERVAL_MS,
       errorHandler: (error) => { this.reportFailure(error) }
     })
   }
@@ -49,8 +49,8 @@
     this.record(() => this.client.gauge(name, value, { ...tags }))
   }
 
-  observe (name: string, spanMs: number, tags?: MetricTags): void {
-    this.record(() => this.client.timing(name, spanMs, { ...tags }))
+  observe (name: string, durationMs: number, tags?: MetricTags): void {
+    this.record(() => this.client.timing(name, durationMs, { ...tags }))
   }
 
   /** Sends what is buffered, then closes the socket. */
@@ -74,8 +74,8 @@
   }
 
   private reportFailure (failure: unknown): void {
-    if (this.hasFailed) return
-    this.hasFailed = true
+    if (this.hasLoggedFailure) return
+    this.hasLoggedFailure = true
     const message = failure instanceof Error ? failure.message : String(failure)
     this.logger.log(LogLevel.Warn, { step: 'send-metrics', peer: this.peer }, message)
   }
--- a/packages/adapters/src/node/peers/documentChunks.ts
+++ b/packages/adapters/src/node/peers/documentChunks.ts
@@ -37,11 +37,11 @@
 
 /** Puts the chunks of one document together. */
 export class DocumentAssembler {
-  private readonly parts: Buffer[] = []
-  private size = 0
+  private readonly chunks: Buffer[] = []
+  private sizeBytes = 0
   private document: DocumentVersion | undefined
   private route: PushRoute | undefined
-  private isWhole = false
+  private isComplete = false
 
   constructor (private readonly peer: string) {}
 
@@ -52,11 +52,11 @@
   add (chunk: DocumentChunk): void {
     this.document ??= chunk.document
     this.route ??= decodeRoute(chunk)
-    if (!this.isNext(chunk)) throw this.createError(ErrorCode.Invalid, `chunk ${chunk.index} is out of order`)
-    this.size += chunk.data.byteLength
-    if (this.size > MAX_DOCUMENT_BYTES) throw this.createError(ErrorCode.Exhausted, `the document exceeds ${MAX_DOCUMENT_BYTES} bytes`)
-    this.parts.push(chunk.data)
-    this.isWhole = chunk.isLast
+    if (!this.isNextChunk(chunk)) throw this.createError(ErrorCode.Invalid, `chunk ${chunk.index} is out of order`)
+    this.sizeBytes += chunk.data.byteLength
+    if (this.sizeBytes > MAX_DOCUMENT_BYTES) throw this.createError(ErrorCode.Exhausted, `the document exceeds ${MAX_DOCUMENT_BYTES} bytes`)
+    this.chunks.push(chunk.data)
+    this.isComplete = chunk.isLast
   }
 
   /**
@@ -65,16 +65,16 @@
    */
   build (): PeerDocument | undefined {
     if (this.document === undefined) return undefined
-    if (!this.isWhole) throw this.createError(ErrorCode.Invalid, 'the last chunk is missing')
-    const whole = { document: decodeVersion(this.document), body: Buffer.concat(this.parts) }
-    return this.route === undefined ? whole : { ...whole, route: this.route }
+    if (!this.isComplete) throw this.createError(ErrorCode.Invalid, 'the last chunk is missing')
+    const assembled = { document: decodeVersion(this.document), body: Buffer.concat(this.chunks) }
+    return this.route === undefined ? assembled : { ...assembled, route: this.route }
   }
 
-  private isNext (chunk: DocumentChunk): boolean {
-    const isSame = chunk.document !== undefined &&
+  private isNextChunk (chunk: DocumentChunk): boolean {
+    const isSameDocument = chunk.document !== undefined &&
       chunk.document.name === this.document?.name &&
       chunk.document.version === this.document.version
-    return isSame && !this.isWhole && chunk.index === this.parts.length
+    return isSameDocument && !this.isComplete && chunk.index === this.chunks.length
   }
 
   private createError (code: ErrorCode, message: string): StepError {
--- a/packages/adapters/src/node/peers/peerClient.ts
+++ b/packages/adapters/src/node/peers/peerClient.ts
@@ -47,7 +47,7 @@
   readonly client: WireClient
 }
 
-type Invoke<S> = (client: WireClient, options: Partial<CallOptions>, sentAt: Instant) => Promise<Result<S, ServiceError | StepError>>
+type PeerInvocation<TResponse> = (client: WireClient, options: Partial<CallOptions>, sentAt: Instant) => Promise<Result<TResponse, ServiceError | StepError>>
 
 /** An IPeerClient over gRPC. */
 export class PeerClient implements IPeerClient {
@@ -63,10 +63,10 @@
 
   exchange (address: string, digest: Digest, deadline: Deadline): Promise<Result<Digest, StepError>> {
     return this.callPeer(PeerCall.Exchange, address, deadline, async (client, options, sentAt) => {
-      const answer = await callUnary(client.exchange.bind(client), encodeDigest(digest, sentAt), options)
+      const response = await callUnary(client.exchange.bind(client), encodeDigest(digest, sentAt), options)
       // Ages in the answer count from when it was sent; taking the instant of our
       // own request makes a measurement look older, never newer.
-      return answer.map((received) => decodeDigest(received, sentAt, address))
+      return response.map((received) => decodeDigest(received, sentAt, address))
     })
   }
 
@@ -95,15 +95,15 @@
 
   borrow (address: string, request: LoanRequest, deadline: Deadline): Promise<Result<LoanAnswer, StepError>> {
     return this.callPeer(PeerCall.Borrow, address, deadline, async (client, options, sentAt) => {
-      const answer = await callUnary(client.borrow.bind(client), encodeLoanRequest(request, sentAt), options)
-      return answer.map((received) => decodeLoanAnswer(received, sentAt))
+      const response = await callUnary(client.borrow.bind(client), encodeLoanRequest(request, sentAt), options)
+      return response.map((received) => decodeLoanAnswer(received, sentAt))
     })
   }
 
   returnLoan (address: string, loan: LoanReturn, deadline: Deadline): Promise<Result<void, StepError>> {
     return this.callPeer(PeerCall.ReturnLoan, address, deadline, async (client, options) => {
-      const answer = await callUnary(client.return.bind(client), { ...loan }, options)
-      return answer.map(() => undefined)
+      const response = await callUnary(client.return.bind(client), { ...loan }, options)
+      return response.map(() => undefined)
     })
   }
 
@@ -117,25 +117,25 @@
     for (const address of [...this.connections.keys()]) this.closePeer(address)
   }
 
-  private async callPeer<S> (call: PeerCall, address: string, deadline: Deadline, invoke: Invoke<S>): Promise<Result<S, StepError>> {
-    const site = { step: call, peer: address, effect: EFFECT_BY_CALL[call] }
+  private async callPeer<TResponse> (call: PeerCall, address: string, deadline: Deadline, invoke: PeerInvocation<TResponse>): Promise<Result<TResponse, StepError>> {
+    const context = { step: call, peer: address, effect: EFFECT_BY_CALL[call] }
     if (this.isClosed) return Err(new StepError({ code: ErrorCode.Cancelled, step: call, peer: address, message: 'the peer client is closed' }))
     const { channel, client } = this.openConnection(address)
     const isConnected = await waitForChannel(channel, this.clock, deadline)
     const sentAt = this.clock.now()
-    if (!isConnected || hasPassed(deadline, sentAt)) return Err(createUnsentError(site, isConnected))
+    if (!isConnected || hasPassed(deadline, sentAt)) return Err(createUnsentError(context, isConnected))
     try {
-      const answer = await invoke(client, createCallOptions(this.clock, deadline), sentAt)
-      if (answer.ok) return answer
-      throw answer.val
+      const response = await invoke(client, createCallOptions(this.clock, deadline), sentAt)
+      if (response.ok) return response
+      throw response.val
     } catch (thrown) {
-      return Err(isServiceError(thrown) ? toCallError(thrown, site) : toStepError(thrown, call, address))
+      return Err(isServiceError(thrown) ? toCallError(thrown, context) : toStepError(thrown, call, address))
     }
   }
 
   private openConnection (address: string): PeerConnection {
-    const known = this.connections.get(address)
-    if (known !== undefined) return known
+    const existing = this.connections.get(address)
+    if (existing !== undefined) return existing
     const security = this.security(address)
     const channel = createChannel(address, security)
     const client = new WireClient(address, security.credentials, { channelOverride: channel })
@@ -151,8 +151,8 @@
 
 function pushChunks (client: WireClient, document: PeerDocument, options: Partial<CallOptions>): Promise<Result<number, ServiceError>> {
   return new Promise((resolve) => {
-    const stream = client.push(new Metadata(), options, (error: ServiceError | null, answer: PushAnswer) => {
-      resolve(error === null ? Ok(Number(answer.version)) : Err(error))
+    const stream = client.push(new Metadata(), options, (error: ServiceError | null, response: PushAnswer) => {
+      resolve(error === null ? Ok(Number(response.version)) : Err(error))
     })
     // The callback reports every failure of the call; a refusal in the middle of
     // the document also breaks the pipe, which says nothing more.
--- a/packages/adapters/src/node/peers/peerMessages.ts
+++ b/packages/adapters/src/node/peers/peerMessages.ts
@@ -12,25 +12,25 @@
 
 const MAX_UINT32 = 0xffff_ffff
 
-const WIRE_BY_STATE: Readonly<Record<AnnouncedState, WireState>> = {
+const WIRE_STATE_BY_STATE: Readonly<Record<AnnouncedState, WireState>> = {
   [NodeState.Joining]: WireState.NODE_STATE_JOINING,
   [NodeState.Live]: WireState.NODE_STATE_LIVE,
   [NodeState.Leaving]: WireState.NODE_STATE_LEAVING
 }
 
-const STATE_BY_WIRE: ReadonlyMap<WireState, AnnouncedState> = new Map([
+const STATE_BY_WIRE_STATE: ReadonlyMap<WireState, AnnouncedState> = new Map([
   [WireState.NODE_STATE_JOINING, NodeState.Joining],
   [WireState.NODE_STATE_LIVE, NodeState.Live],
   [WireState.NODE_STATE_LEAVING, NodeState.Leaving]
 ])
 
 /** Ages round up: a measurement must not look newer than it is. */
-function encodeAge (measuredAt: Instant, now: Instant): number {
+function encodeAgeMs (measuredAt: Instant, now: Instant): number {
   return Math.min(MAX_UINT32, Math.ceil(getRemainingMs(now, measuredAt)))
 }
 
 /** Spans round down: a deadline must not move away on the wire. */
-function encodeSpan (deadline: Instant, now: Instant): number {
+function encodeRemainingMs (deadline: Instant, now: Instant): number {
   return Math.min(MAX_UINT32, Math.floor(getRemainingMs(deadline, now)))
 }
 
@@ -44,23 +44,23 @@
   return { ...document, version: Number(document.version) }
 }
 
-function encodeReport<R extends { readonly measuredAt: Instant }> (report: R, now: Instant): Omit<R, 'measuredAt'> & { ageMs: number } {
+function encodeReport<TReport extends { readonly measuredAt: Instant }> (report: TReport, now: Instant): Omit<TReport, 'measuredAt'> & { ageMs: number } {
   const { measuredAt, ...rest } = report
-  return { ...rest, ageMs: encodeAge(measuredAt, now) }
+  return { ...rest, ageMs: encodeAgeMs(measuredAt, now) }
 }
 
-function decodeReport<R extends { ageMs: number }> (report: R, now: Instant): Omit<R, 'ageMs'> & { measuredAt: Instant } {
+function decodeReport<TReport extends { ageMs: number }> (report: TReport, now: Instant): Omit<TReport, 'ageMs'> & { measuredAt: Instant } {
   const { ageMs, ...rest } = report
   return { ...rest, measuredAt: now - ageMs }
 }
 
 /** Zero on the wire says that there is no instant; a known age is sent one larger. */
-function encodeOptionalAge (at: Instant | undefined, now: Instant): number {
-  return at === undefined ? 0 : Math.min(MAX_UINT32, encodeAge(at, now) + 1)
+function encodeOptionalAgeMs (instant: Instant | undefined, now: Instant): number {
+  return instant === undefined ? 0 : Math.min(MAX_UINT32, encodeAgeMs(instant, now) + 1)
 }
 
-function decodeOptionalAge (age: number, now: Instant): Instant | undefined {
-  return age === 0 ? undefined : now - (age - 1)
+function decodeOptionalAgeMs (encodedAgeMs: number, now: Instant): Instant | undefined {
+  return encodedAgeMs === 0 ? undefined : now - (encodedAgeMs - 1)
 }
 
 function encodeMember (report: MemberReport, now: Instant): wire.MemberReport {
@@ -68,14 +68,14 @@
     ...report,
     incarnation: BigInt(report.incarnation),
     beat: BigInt(report.beat),
-    state: WIRE_BY_STATE[report.state],
+    state: WIRE_STATE_BY_STATE[report.state],
     documents: report.documents.map(encodeVersion),
     demand: report.demand.map((demand) => encodeReport(demand, now))
   }
 }
 
 function decodeState (state: WireState, peer: string): AnnouncedState {
-  const decoded = STATE_BY_WIRE.get(state)
+  const decoded = STATE_BY_WIRE_STATE.get(state)
   if (decoded === undefined) throw new StepError({ code: ErrorCode.Invalid, step: 'decode-digest', peer, message: `unknown node state ${state}` })
   return decoded
 }
@@ -102,8 +102,8 @@
     ...rest,
     beat: BigInt(digest.beat),
     members: digest.members.map((report) => encodeMember(report, now)),
-    confirmedAgeMs: encodeOptionalAge(confirmedAt, now),
-    state: WIRE_BY_STATE[digest.state],
+    confirmedAgeMs: encodeOptionalAgeMs(confirmedAt, now),
+    state: WIRE_STATE_BY_STATE[digest.state],
     incarnation: BigInt(digest.incarnation),
     documents: digest.documents.map(encodeVersion),
     workers: digest.workers.map((report) => encodeReport(report, now)),
@@ -115,10 +115,10 @@
  * NaN passes through every comparison and sum: one such report would upset the
  * choice among all workers of a place, and relayed on, at all nodes.
  */
-function checkFigures (digest: wire.Digest, peer: string): void {
+function checkMeasurements (digest: wire.Digest, peer: string): void {
   const demand = [...digest.demand, ...digest.members.flatMap((report) => report.demand)]
-  const figures = [...digest.workers.map((report) => report.utilization), ...demand.map((report) => report.concurrency)]
-  if (figures.every((figure) => Number.isFinite(figure) && figure >= 0)) return
+  const values = [...digest.workers.map((report) => report.utilization), ...demand.map((report) => report.concurrency)]
+  if (values.every((figure) => Number.isFinite(figure) && figure >= 0)) return
   throw new StepError({ code: ErrorCode.Invalid, step: 'decode-digest', peer, message: 'a reported figure is negative or no number' })
 }
 
@@ -130,13 +130,13 @@
  * @throws StepError `Invalid` if its state is unknown or a figure is no number of 0 or more
  */
 export function decodeDigest (digest: wire.Digest, now: Instant, peer: string): Digest {
-  checkFigures(digest, peer)
+  checkMeasurements(digest, peer)
   const { confirmedAgeMs, ...rest } = digest
   return {
     ...rest,
     beat: Number(digest.beat),
     members: digest.members.map((report) => decodeMember(report, now, peer)),
-    confirmedAt: decodeOptionalAge(confirmedAgeMs, now),
+    confirmedAt: decodeOptionalAgeMs(confirmedAgeMs, now),
     state: decodeState(digest.state, peer),
     incarnation: Number(digest.incarnation),
     documents: digest.documents.map(decodeVersion),
@@ -148,7 +148,7 @@
 /** @returns a loan's request for the wire; its span counts from `now` */
 export function encodeLoanRequest (request: LoanRequest, now: Instant): wire.LoanRequest {
   const { deadline, ...rest } = request
-  return { ...rest, spanMs: encodeSpan(deadline, now) }
+  return { ...rest, spanMs: encodeRemainingMs(deadline, now) }
 }
 
 /** @returns a loan's request on the lender's clock, received at `now` */
@@ -160,7 +160,7 @@
 /** @returns a loan's answer for the wire; its span counts from the receipt of the request */
 export function encodeLoanAnswer (answer: LoanAnswer, receivedAt: Instant): wire.LoanAnswer {
   const { deadline, ...rest } = answer
-  return { ...rest, spanMs: encodeSpan(deadline, receivedAt) }
+  return { ...rest, spanMs: encodeRemainingMs(deadline, receivedAt) }
 }
 
 /** @returns a loan's answer on the borrower's clock, for a request sent at `sentAt` */
--- a/packages/adapters/src/node/peers/peerServer.ts
+++ b/packages/adapters/src/node/peers/peerServer.ts
@@ -20,7 +20,7 @@
 const LISTEN_STEP = 'listen-for-peers'
 const ANSWER_STEP = 'answer-peer'
 /** How long calls may go on after `close`; then they are cut. */
-const CLOSE_SPAN_MS = 1000
+const SHUTDOWN_GRACE_MS = 1000
 
 const STATUS_BY_CODE: Readonly<Record<ErrorCode, status>> = {
   [ErrorCode.Invalid]: status.INVALID_ARGUMENT,
@@ -73,7 +73,7 @@
   /** Lets running calls finish for a second, then cuts them. */
   close (): Promise<void> {
     this.closing ??= new Promise((resolve) => {
-      const timer = this.clock.schedule(createDeadline(this.clock.now(), CLOSE_SPAN_MS), () => { this.server.forceShutdown() })
+      const timer = this.clock.schedule(createDeadline(this.clock.now(), SHUTDOWN_GRACE_MS), () => { this.server.forceShutdown() })
       this.server.tryShutdown(() => {
         timer.close()
         resolve()
@@ -85,17 +85,17 @@
   private buildHandlers (): wire.PeerServer {
     return {
       exchange: (call: ServerUnaryCall<wire.Digest, wire.Digest>, callback: sendUnaryData<wire.Digest>) => {
-        this.answerUnary(call, callback, (request, now) => encodeDigest(this.service.exchange(decodeDigest(request, now, call.getPeer())), now))
+        this.handleUnary(call, callback, (request, now) => encodeDigest(this.service.exchange(decodeDigest(request, now, call.getPeer())), now))
       },
-      fetch: (call: ServerWritableStream<wire.DocumentRequest, wire.DocumentChunk>) => { this.answerFetch(call) },
+      fetch: (call: ServerWritableStream<wire.DocumentRequest, wire.DocumentChunk>) => { this.handleFetch(call) },
       push: (call: ServerReadableStream<wire.DocumentChunk, wire.PushAnswer>, callback: sendUnaryData<wire.PushAnswer>) => {
-        this.answerPush(call, callback)
+        this.handlePush(call, callback)
       },
       borrow: (call: ServerUnaryCall<wire.LoanRequest, wire.LoanAnswer>, callback: sendUnaryData<wire.LoanAnswer>) => {
-        this.answerUnary(call, callback, (request, now) => encodeLoanAnswer(this.service.borrow(decodeLoanRequest(request, now)), now))
+        this.handleUnary(call, callback, (request, now) => encodeLoanAnswer(this.service.borrow(decodeLoanRequest(request, now)), now))
       },
       return: (call: ServerUnaryCall<wire.LoanReturn, wire.LoanReturnAnswer>, callback: sendUnaryData<wire.LoanReturnAnswer>) => {
-        this.answerUnary(call, callback, (request) => {
+        this.handleUnary(call, callback, (request) => {
           this.service.returnLoan(request)
           return {}
         })
@@ -103,15 +103,15 @@
     }
   }
 
-  private answerUnary<Q, S> (call: ServerUnaryCall<Q, S>, callback: sendUnaryData<S>, answer: (request: Q, now: number) => S): void {
+  private handleUnary<TRequest, TResponse> (call: ServerUnaryCall<TRequest, TResponse>, callback: sendUnaryData<TResponse>, createResponse: (request: TRequest, now: number) => TResponse): void {
     try {
-      callback(null, answer(call.request, this.clock.now()))
+      callback(null, createResponse(call.request, this.clock.now()))
     } catch (thrown) {
-      callback(this.toStatus(thrown, call.getPeer()))
+      callback(this.toServiceError(thrown, call.getPeer()))
     }
   }
 
-  private answerFetch (call: ServerWritableStream<wire.DocumentRequest, wire.DocumentChunk>): void {
+  private handleFetch (call: ServerWritableStream<wire.DocumentRequest, wire.DocumentChunk>): void {
     const { name, aboveVersion } = call.request
     try {
       const document = this.service.fetch(name, Number(aboveVersion))
@@ -120,11 +120,11 @@
       call.on('cancelled', () => { chunks.destroy() })
       chunks.pipe(call as unknown as Writable)
     } catch (thrown) {
-      call.emit('error', this.toStatus(thrown, call.getPeer()))
+      call.emit('error', this.toServiceError(thrown, call.getPeer()))
     }
   }
 
-  private async answerPush (call: ServerReadableStream<wire.DocumentChunk, wire.PushAnswer>, callback: sendUnaryData<wire.PushAnswer>): Promise<void> {
+  private async handlePush (call: ServerReadableStream<wire.DocumentChunk, wire.PushAnswer>, callback: sendUnaryData<wire.PushAnswer>): Promise<void> {
     const peer = call.getPeer()
     try {
       const assembler = new DocumentAssembler(peer)
@@ -133,11 +133,11 @@
       if (document === undefined) throw new StepError({ code: ErrorCode.Invalid, step: ANSWER_STEP, peer, message: 'no chunk came' })
       callback(null, { version: BigInt(await this.service.push(document)) })
     } catch (thrown) {
-      callback(this.toStatus(thrown, peer))
+      callback(this.toServiceError(thrown, peer))
     }
   }
 
-  private toStatus (thrown: unknown, peer: string): ServiceError {
+  private toServiceError (thrown: unknown, peer: string): ServiceError {
     const error = toStepError(thrown, ANSWER_STEP, peer)
     logError(this.options.logger, LogLevel.Warn, error)
     return Object.assign(new Error(error.message), { code: STATUS_BY_CODE[error.code], details: error.message, metadata: new Metadata() })
--- a/packages/adapters/src/node/settings/daemonSettings.ts
+++ b/packages/adapters/src/node/settings/daemonSettings.ts
@@ -6,29 +6,29 @@
 import { readFile } from 'node:fs/promises'
 import { callersTlsSchema, clientTlsSchema, listenerLimitsSchema, operatorsTlsSchema, peersTlsSchema } from './listenerSettings.js'
 
-const address = z.string().regex(/^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/, 'expected an IP number and port, like 10.0.0.1:8080 or [::1]:8080')
-const name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'expected lower-case letters, digits and hyphens, at most 63')
+const addressSchema = z.string().regex(/^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/, 'expected an IP number and port, like 10.0.0.1:8080 or [::1]:8080')
+const nameSchema = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'expected lower-case letters, digits and hyphens, at most 63')
 /** How often certificate files are read again, in milliseconds. */
-const DEFAULT_REREAD_MS = 60_000
-const MIN_REREAD_MS = 100
-const MAX_REREAD_MS = 86_400_000
+const DEFAULT_CERTIFICATE_REREAD_MS = 60_000
+const MIN_CERTIFICATE_REREAD_MS = 100
+const MAX_CERTIFICATE_REREAD_MS = 86_400_000
 
 /** The settings file of `umberspard`. */
 export const daemonSettingsSchema = z.strictObject({
   /** Unique among all entry VMs; the platform's VM list names the VM by it. */
-  nodeId: name,
-  region: name,
-  failureDomain: name,
+  nodeId: nameSchema,
+  region: nameSchema,
+  failureDomain: nameSchema,
   /** Look-ups and requests. */
-  callers: z.strictObject({ address, tls: callersTlsSchema.optional(), limits: listenerLimitsSchema.optional() }),
+  callers: z.strictObject({ address: addressSchema, tls: callersTlsSchema.optional(), limits: listenerLimitsSchema.optional() }),
   /** Other daemons, by gRPC. */
-  peers: z.strictObject({ address, tls: peersTlsSchema.optional() }),
+  peers: z.strictObject({ address: addressSchema, tls: peersTlsSchema.optional() }),
   /** Operators, probes and status. */
-  operators: z.strictObject({ address, tls: operatorsTlsSchema.optional(), limits: listenerLimitsSchema.optional() }),
+  operators: z.strictObject({ address: addressSchema, tls: operatorsTlsSchema.optional(), limits: listenerLimitsSchema.optional() }),
   /** How workers are spoken to; without `tls` in plain text. */
   upstreams: z.strictObject({ tls: clientTlsSchema.optional() }).optional(),
   store: z.strictObject({
-    endpoints: z.array(address).min(1),
+    endpoints: z.array(addressSchema).min(1),
     keyPrefix: z.string().regex(/^\/.*\/$/, 'expected a prefix that begins and ends with /'),
     tls: clientTlsSchema.optional()
   }),
@@ -36,7 +36,7 @@
   /** Where StatsD listens; without it no metrics are sent. */
   statsd: z.strictObject({ host: z.string().min(1), port: z.number().int().min(1).max(65_535) }).optional(),
   /** How often the files of all `tls` sections are read again; SIGHUP does so at once. */
-  certificateRereadMs: z.number().int().min(MIN_REREAD_MS).max(MAX_REREAD_MS).default(DEFAULT_REREAD_MS).optional(),
+  certificateRereadMs: z.number().int().min(MIN_CERTIFICATE_REREAD_MS).max(MAX_CERTIFICATE_REREAD_MS).default(DEFAULT_CERTIFICATE_REREAD_MS).optional(),
   /** Whose X-Forwarded-For is believed. */
   trustedForwarders: z.array(z.union([z.cidrv4(), z.cidrv6()])).default([]),
   logLevel: z.enum(LogLevel).default(LogLevel.Info)
--- a/packages/adapters/src/node/settings/listenerSettings.ts
+++ b/packages/adapters/src/node/settings/listenerSettings.ts
@@ -1,32 +1,32 @@
 /** Settings of listeners and connections: certificates, and limits against hostile senders. */
 import { z } from 'zod'
 
-const file = z.string().min(1, 'expected a path of a PEM file')
-const serverName = z.string().min(1).max(253)
-const span = z.number().int().min(1).max(86_400_000)
+const pemPathSchema = z.string().min(1, 'expected a path of a PEM file')
+const serverNameSchema = z.string().min(1).max(253)
+const durationMsSchema = z.number().int().min(1).max(86_400_000)
 
 /** The callers' listener: a certificate of its own, callers show none. */
-export const callersTlsSchema = z.strictObject({ certificate: file, key: file })
+export const callersTlsSchema = z.strictObject({ certificate: pemPathSchema, key: pemPathSchema })
 
 /** The operators' listener: with `ca`, only clients with a certificate of that CA may connect. */
-export const operatorsTlsSchema = z.strictObject({ certificate: file, key: file, ca: file.optional() })
+export const operatorsTlsSchema = z.strictObject({ certificate: pemPathSchema, key: pemPathSchema, ca: pemPathSchema.optional() })
 
 /** Between daemons: both sides show a certificate of the deployment's CA. */
 export const peersTlsSchema = z.strictObject({
-  certificate: file,
-  key: file,
-  ca: file,
+  certificate: pemPathSchema,
+  key: pemPathSchema,
+  ca: pemPathSchema,
   /** The name that peers' certificates carry; without it they carry the peer's IP number. */
-  serverName: serverName.optional()
+  serverName: serverNameSchema.optional()
 })
 
 /** Towards the store or the workers; a client certificate is optional. */
 export const clientTlsSchema = z.strictObject({
-  ca: file,
-  certificate: file.optional(),
-  key: file.optional(),
+  ca: pemPathSchema,
+  certificate: pemPathSchema.optional(),
+  key: pemPathSchema.optional(),
   /** The name that the other side's certificate carries; without it, its IP number. */
-  serverName: serverName.optional()
+  serverName: serverNameSchema.optional()
 }).refine((tls) => (tls.certificate === undefined) === (tls.key === undefined), 'expected certificate and key together, or neither')
 
 /** Limits of an HTTP listener. */
@@ -41,12 +41,12 @@
   maxConnectionsPerAddress: z.number().int().min(1).max(1_000_000).default(512),
   maxRequestsPerConnection: z.number().int().min(1).max(1_000_000_000).default(10_000),
   /** From the first byte (or the connection) to the end of the header; TLS handshakes as well. */
-  headersWithinMs: span.default(10_000),
+  headersWithinMs: durationMsSchema.default(10_000),
   /** While a body is waited for, at least `minBodyBytes` come within each such span. */
-  bodyProgressWithinMs: span.default(30_000),
+  bodyProgressWithinMs: durationMsSchema.default(30_000),
   minBodyBytes: z.number().int().min(1).default(512),
   /** How long a connection may be idle between two requests. */
-  idleWithinMs: span.default(5000)
+  idleWithinMs: durationMsSchema.default(5000)
 }).refine((limits) => limits.maxTargetBytes < limits.maxHeaderBytes, { path: ['maxTargetBytes'], message: 'expected less than maxHeaderBytes, which counts the target too' })
 
 /** Limits of an HTTP listener, checked. */
--- a/packages/adapters/src/node/store/etcdMessages.ts
+++ b/packages/adapters/src/node/store/etcdMessages.ts
@@ -3,33 +3,33 @@
 import type { Compare, Event as WireEvent, KeyValue, RangeRequest, RequestOp, TxnRequest, WatchRequest } from '../generated/etcd/rpc.js'
 import { Compare_CompareResult as CompareResult, Compare_CompareTarget as CompareTarget, Event_EventType as EventType } from '../generated/etcd/rpc.js'
 
-const MAX_BYTE = 0xff
+const MAX_BYTE_VALUE = 0xff
 /** As a range end it means "all keys from the first on". */
-const NO_UPPER_END = Buffer.from([0])
-const ONE_KEY = Buffer.alloc(0)
+const UNBOUNDED_RANGE_END = Buffer.from([0])
+const SINGLE_KEY_RANGE_END = Buffer.alloc(0)
 
 /**
  * @param prefix what the keys begin with
  * @returns the least key that is greater than all keys with that prefix
  */
 export function computeRangeEnd (prefix: Uint8Array): Buffer {
-  const end = Buffer.from(prefix)
-  for (let index = end.length - 1; index >= 0; index--) {
-    const byte = end[index] ?? MAX_BYTE
-    if (byte === MAX_BYTE) continue
-    end[index] = byte + 1
-    return end.subarray(0, index + 1)
+  const rangeEnd = Buffer.from(prefix)
+  for (let index = rangeEnd.length - 1; index >= 0; index--) {
+    const byte = rangeEnd[index] ?? MAX_BYTE_VALUE
+    if (byte === MAX_BYTE_VALUE) continue
+    rangeEnd[index] = byte + 1
+    return rangeEnd.subarray(0, index + 1)
   }
-  return NO_UPPER_END
+  return UNBOUNDED_RANGE_END
 }
 
-function createRange (key: Buffer, rangeEnd: Buffer): RangeRequest {
+function createRangeRequest (key: Buffer, rangeEnd: Buffer): RangeRequest {
   return { key, rangeEnd, limit: 0n, revision: 0n, serializable: false, keysOnly: false, countOnly: false }
 }
 
 /** @returns a read of one key */
 export function encodeGet (key: string): RangeRequest {
-  return createRange(Buffer.from(key), ONE_KEY)
+  return createRangeRequest(Buffer.from(key), SINGLE_KEY_RANGE_END)
 }
 
 /** An empty prefix stands for all keys, whose first possible one is a zero byte. */
@@ -39,7 +39,7 @@
 
 /** @returns a read of all keys with a prefix */
 export function encodeList (prefix: string): RangeRequest {
-  return createRange(encodePrefix(prefix), computeRangeEnd(Buffer.from(prefix)))
+  return createRangeRequest(encodePrefix(prefix), computeRangeEnd(Buffer.from(prefix)))
 }
 
 /** @returns a watch of all keys with a prefix */
@@ -71,7 +71,7 @@
   put: (write) => ({
     requestPut: { key: Buffer.from(write.key), value: Buffer.from(write.value), lease: BigInt(write.leaseId ?? 0), prevKv: false }
   }),
-  delete: (write) => ({ requestDeleteRange: { key: Buffer.from(write.key), rangeEnd: ONE_KEY, prevKv: false } })
+  delete: (write) => ({ requestDeleteRange: { key: Buffer.from(write.key), rangeEnd: SINGLE_KEY_RANGE_END, prevKv: false } })
 }
 
 function encodeWrite (write: StoreWrite): RequestOp {
--- a/packages/adapters/src/node/store/etcdStore.ts
+++ b/packages/adapters/src/node/store/etcdStore.ts
@@ -19,17 +19,17 @@
 import type { Result } from '@umberspar/base/common/result'
 import { Err, Ok } from '@umberspar/base/common/result'
 import type { GrantedLease, IKeyValueStore, IStoreWatch, StoredValue, StoreSnapshot, StoreTransaction, TransactionResult } from '@umberspar/steering/common/ports/keyValueStore'
-import type { CallSite, ChannelSecurityFactory } from '../grpc/grpcCalls.js'
+import type { CallContext, ChannelSecurityFactory } from '../grpc/grpcCalls.js'
 import { CallEffect, callUnary, createCallOptions, createUnsentError, INSECURE_CHANNELS, isEndpointFailure, toCallError, waitForChannel } from '../grpc/grpcCalls.js'
 import type { LeaseGrantResponse, RangeRequest, RangeResponse } from '../generated/etcd/rpc.js'
 import type { EtcdEndpoint } from './etcdEndpoint.js'
-import { EndpointRing } from './endpointRing.js'
+import { EndpointRotation } from './endpointRotation.js'
 import { decodeValue, encodeGet, encodeList, encodeTransaction } from './etcdMessages.js'
 import { EtcdWatch } from './etcdWatch.js'
 import { renewLeaseOnce } from './leaseRenewal.js'
 
 const MS_PER_SECOND = 1000
-const ANY_ENDPOINT = 'store'
+const UNSPECIFIED_ENDPOINT = 'store'
 const CALLS_METRIC = 'store.calls'
 const FAILURES_METRIC = 'store.failures'
 
@@ -56,17 +56,17 @@
   readonly metrics?: IMetrics
 }
 
-type Invoke<S> = (endpoint: EtcdEndpoint, options: Partial<CallOptions>) => Promise<Result<S, ServiceError>>
+type EndpointInvocation<TResponse> = (endpoint: EtcdEndpoint, options: Partial<CallOptions>) => Promise<Result<TResponse, ServiceError>>
 
 /** An answer and the instant just before its call was sent. */
-interface TimedAnswer<S> {
-  readonly answer: S
+interface TimedResponse<TResponse> {
+  readonly response: TResponse
   readonly sentAt: number
 }
 
 /** An IKeyValueStore over gRPC. */
 export class EtcdStore implements IKeyValueStore {
-  private readonly ring: EndpointRing
+  private readonly endpoints: EndpointRotation
   private readonly clock: IClock
   private readonly logger: ILogger
   private readonly metrics: IMetrics
@@ -74,7 +74,7 @@
   private isClosed = false
 
   constructor (options: EtcdStoreOptions) {
-    this.ring = new EndpointRing(options.endpoints, options.security ?? INSECURE_CHANNELS)
+    this.endpoints = new EndpointRotation(options.endpoints, options.security ?? INSECURE_CHANNELS)
     this.clock = options.clock
     this.logger = options.logger
     this.metrics = options.metrics ?? NULL_METRICS
@@ -97,7 +97,7 @@
     const request = encodeTransaction(transaction)
     const written = await this.callWrite(StoreCall.Transact, deadline, (endpoint, options) =>
       callUnary(endpoint.keyValues.txn.bind(endpoint.keyValues), request, options))
-    return written.map(({ answer }) => ({ isApplied: answer.succeeded, revision: Number(answer.header?.revision ?? 0n) }))
+    return written.map(({ response: answer }) => ({ isApplied: answer.succeeded, revision: Number(answer.header?.revision ?? 0n) }))
   }
 
   async openLease (ttlSeconds: number, deadline: Deadline): Promise<Result<GrantedLease, StepError>> {
@@ -121,12 +121,12 @@
   }
 
   watch (prefix: string, fromRevision: number): IStoreWatch {
-    const endpoint = this.ring.list()[0]
+    const endpoint = this.endpoints.list()[0]
     if (this.isClosed || endpoint === undefined) throw this.createClosedError(StoreCall.Watch)
     this.metrics.count(CALLS_METRIC, 1, { kind: StoreCall.Watch })
     const watch: EtcdWatch = new EtcdWatch(endpoint.watches.watch(), prefix, fromRevision, (isBroken) => {
       this.watches.delete(watch)
-      if (isBroken) this.reportCut(endpoint)
+      if (isBroken) this.reportBrokenWatch(endpoint)
     })
     this.watches.add(watch)
     return watch
@@ -136,14 +136,14 @@
     if (this.isClosed) return
     this.isClosed = true
     for (const watch of [...this.watches]) watch.close()
-    this.ring.close()
+    this.endpoints.close()
   }
 
   /** A lease with the number 0 stands for "no lease": keys bound to it would never vanish. */
-  private checkLease (timed: TimedAnswer<LeaseGrantResponse>): Result<GrantedLease, StepError> {
-    const { ID, error } = timed.answer
-    if (ID !== 0n && error === '') return Ok(buildLease(timed))
-    return Err(new StepError({ code: ErrorCode.Refused, step: StoreCall.OpenLease, peer: ANY_ENDPOINT, message: error || 'no lease was granted' }))
+  private checkLease (granted: TimedResponse<LeaseGrantResponse>): Result<GrantedLease, StepError> {
+    const { ID, error } = granted.response
+    if (ID !== 0n && error === '') return Ok(buildLease(granted))
+    return Err(new StepError({ code: ErrorCode.Refused, step: StoreCall.OpenLease, peer: UNSPECIFIED_ENDPOINT, message: error || 'no lease was granted' }))
   }
 
   private callRange (call: StoreCall, request: RangeRequest, deadline: Deadline): Promise<Result<RangeResponse, StepError>> {
@@ -151,80 +151,80 @@
       callUnary(endpoint.keyValues.range.bind(endpoint.keyValues), request, options))
   }
 
-  private async callRead<S> (call: StoreCall, deadline: Deadline, invoke: Invoke<S>): Promise<Result<S, StepError>> {
+  private async callRead<TResponse> (call: StoreCall, deadline: Deadline, invoke: EndpointInvocation<TResponse>): Promise<Result<TResponse, StepError>> {
     if (this.isClosed) return Err(this.createClosedError(call))
-    const endpoints = this.ring.list()
-    let failure = createUnsentError({ step: call, peer: ANY_ENDPOINT, effect: CallEffect.None }, true)
+    const endpoints = this.endpoints.list()
+    let failure = createUnsentError({ step: call, peer: UNSPECIFIED_ENDPOINT, effect: CallEffect.None }, true)
     for (const [index, endpoint] of endpoints.entries()) {
       if (hasPassed(deadline, this.clock.now())) break
-      const site = { step: call, peer: endpoint.address, effect: CallEffect.None }
-      const part = this.computePart(deadline, endpoints.length - index)
-      if (!await waitForChannel(endpoint.channel, this.clock, part)) {
-        failure = this.reportFailure(endpoint, createUnsentError(site, false))
+      const context = { step: call, peer: endpoint.address, effect: CallEffect.None }
+      const endpointDeadline = this.computeEndpointDeadline(deadline, endpoints.length - index)
+      if (!await waitForChannel(endpoint.channel, this.clock, endpointDeadline)) {
+        failure = this.reportFailure(endpoint, createUnsentError(context, false))
         continue
       }
-      const answer = await this.callOnce(call, endpoint, part, invoke)
-      if (answer.ok) return answer
-      failure = toCallError(answer.val, site)
-      if (!isEndpointFailure(answer.val)) return Err(failure)
+      const result = await this.callOnce(call, endpoint, endpointDeadline, invoke)
+      if (result.ok) return result
+      failure = toCallError(result.val, context)
+      if (!isEndpointFailure(result.val)) return Err(failure)
       this.reportFailure(endpoint, failure)
     }
     return Err(failure)
   }
 
-  private async callWrite<S> (call: StoreCall, deadline: Deadline, invoke: Invoke<S>): Promise<Result<TimedAnswer<S>, StepError>> {
+  private async callWrite<TResponse> (call: StoreCall, deadline: Deadline, invoke: EndpointInvocation<TResponse>): Promise<Result<TimedResponse<TResponse>, StepError>> {
     if (this.isClosed) return Err(this.createClosedError(call))
-    const endpoint = await this.findConnected(call, deadline)
-    const site: CallSite = { step: call, peer: endpoint?.address ?? ANY_ENDPOINT, effect: CallEffect.Write }
-    const isLate = hasPassed(deadline, this.clock.now())
-    if (endpoint === undefined || isLate) return Err(createUnsentError(site, isLate))
+    const endpoint = await this.findConnectedEndpoint(call, deadline)
+    const context: CallContext = { step: call, peer: endpoint?.address ?? UNSPECIFIED_ENDPOINT, effect: CallEffect.Write }
+    const isDeadlinePassed = hasPassed(deadline, this.clock.now())
+    if (endpoint === undefined || isDeadlinePassed) return Err(createUnsentError(context, isDeadlinePassed))
     const sentAt = this.clock.now()
-    const answer = await this.callOnce(call, endpoint, deadline, invoke)
-    if (answer.ok) return Ok({ answer: answer.val, sentAt })
-    const failure = toCallError(answer.val, site)
-    if (isEndpointFailure(answer.val)) this.reportFailure(endpoint, failure)
+    const result = await this.callOnce(call, endpoint, deadline, invoke)
+    if (result.ok) return Ok({ response: result.val, sentAt })
+    const failure = toCallError(result.val, context)
+    if (isEndpointFailure(result.val)) this.reportFailure(endpoint, failure)
     return Err(failure)
   }
 
-  private callOnce<S> (call: StoreCall, endpoint: EtcdEndpoint, deadline: Deadline, invoke: Invoke<S>): Promise<Result<S, ServiceError>> {
+  private callOnce<TResponse> (call: StoreCall, endpoint: EtcdEndpoint, deadline: Deadline, invoke: EndpointInvocation<TResponse>): Promise<Result<TResponse, ServiceError>> {
     this.metrics.count(CALLS_METRIC, 1, { kind: call })
     return invoke(endpoint, createCallOptions(this.clock, deadline))
   }
 
   /** Looks for an endpoint that is connected, so that a write is sent only where it can arrive. */
-  private async findConnected (call: StoreCall, deadline: Deadline): Promise<EtcdEndpoint | undefined> {
-    const endpoints = this.ring.list()
+  private async findConnectedEndpoint (call: StoreCall, deadline: Deadline): Promise<EtcdEndpoint | undefined> {
+    const endpoints = this.endpoints.list()
     for (const [index, endpoint] of endpoints.entries()) {
-      const part = this.computePart(deadline, endpoints.length - index)
-      if (await waitForChannel(endpoint.channel, this.clock, part)) return endpoint
+      const endpointDeadline = this.computeEndpointDeadline(deadline, endpoints.length - index)
+      if (await waitForChannel(endpoint.channel, this.clock, endpointDeadline)) return endpoint
       this.reportFailure(endpoint, createUnsentError({ step: call, peer: endpoint.address, effect: CallEffect.Write }, false))
     }
     return undefined
   }
 
-  private computePart (deadline: Deadline, endpointsLeft: number): Deadline {
+  private computeEndpointDeadline (deadline: Deadline, endpointsLeft: number): Deadline {
     const now = this.clock.now()
     return createDeadline(now, getRemainingMs(deadline, now) / endpointsLeft)
   }
 
   private reportFailure (endpoint: EtcdEndpoint, failure: StepError): StepError {
-    this.ring.markFailed(endpoint)
+    this.endpoints.markFailed(endpoint)
     this.metrics.count(FAILURES_METRIC, 1, { kind: failure.step })
     logError(this.logger, LogLevel.Warn, failure)
     return failure
   }
 
-  private reportCut (endpoint: EtcdEndpoint): void {
-    const site = { step: StoreCall.Watch, peer: endpoint.address, effect: CallEffect.None }
-    this.reportFailure(endpoint, new StepError({ code: ErrorCode.Unavailable, step: site.step, peer: site.peer, message: 'the watch was cut' }))
+  private reportBrokenWatch (endpoint: EtcdEndpoint): void {
+    const context = { step: StoreCall.Watch, peer: endpoint.address, effect: CallEffect.None }
+    this.reportFailure(endpoint, new StepError({ code: ErrorCode.Unavailable, step: context.step, peer: context.peer, message: 'the watch was cut' }))
   }
 
   private createClosedError (call: StoreCall): StepError {
-    return new StepError({ code: ErrorCode.Cancelled, step: call, peer: ANY_ENDPOINT, message: 'the store adapter is closed' })
+    return new StepError({ code: ErrorCode.Cancelled, step: call, peer: UNSPECIFIED_ENDPOINT, message: 'the store adapter is closed' })
   }
 }
 
-function buildLease ({ answer, sentAt }: TimedAnswer<{ ID: bigint, TTL: bigint }>): GrantedLease {
+function buildLease ({ response: answer, sentAt }: TimedResponse<{ ID: bigint, TTL: bigint }>): GrantedLease {
   return { leaseId: answer.ID.toString(), deadline: createDeadline(sentAt, Number(answer.TTL) * MS_PER_SECOND) }
 }
 
--- a/packages/adapters/src/node/store/etcdWatch.ts
+++ b/packages/adapters/src/node/store/etcdWatch.ts
@@ -21,19 +21,19 @@
    * @param stream a new stream, owned by the watch from now on
    * @param prefix what the watched keys begin with
    * @param fromRevision the first revision of interest
-   * @param onOver called once, when the stream has broken (true) or its owner closed it (false)
+   * @param onEnd called once, when the stream has broken (true) or its owner closed it (false)
    */
   constructor (
     private readonly stream: WatchStream,
     prefix: string,
     fromRevision: number,
-    private readonly onOver: (isBroken: boolean) => void
+    private readonly onEnd: (isBroken: boolean) => void
   ) {
     stream.on('data', (response: WatchResponse) => { this.handleResponse(response) })
     // A server that stops ends the stream cleanly; a lost connection is an error.
     // Either way changes may be missed from here on, so both end the watch.
-    stream.on('error', () => { this.settleEnd(WatchEnd.Cut) })
-    stream.on('end', () => { this.settleEnd(WatchEnd.Cut) })
+    stream.on('error', () => { this.endWatch(WatchEnd.Cut) })
+    stream.on('end', () => { this.endWatch(WatchEnd.Cut) })
     stream.write(encodeWatch(prefix, fromRevision))
   }
 
@@ -41,7 +41,7 @@
     if (this.hasEnded) return
     this.hasEnded = true
     this.stopStream()
-    this.onOver(false)
+    this.onEnd(false)
   }
 
   private handleResponse (response: WatchResponse): void {
@@ -50,14 +50,14 @@
       const change = decodeChange(event)
       if (change !== undefined) this.changeEmitter.fire(change)
     }
-    if (response.canceled) this.settleEnd(response.compactRevision > 0n ? WatchEnd.Compacted : WatchEnd.Cut)
+    if (response.canceled) this.endWatch(response.compactRevision > 0n ? WatchEnd.Compacted : WatchEnd.Cut)
   }
 
-  private settleEnd (end: WatchEnd): void {
+  private endWatch (reason: WatchEnd): void {
     if (this.hasEnded) return
     this.hasEnded = true
-    this.onOver(end === WatchEnd.Cut)
-    this.endEmitter.fire(end)
+    this.onEnd(reason === WatchEnd.Cut)
+    this.endEmitter.fire(reason)
     this.stopStream()
   }
 
--- a/packages/adapters/src/node/store/leaseRenewal.ts
+++ b/packages/adapters/src/node/store/leaseRenewal.ts
@@ -5,7 +5,7 @@
 import { Err, Ok } from '@umberspar/base/common/result'
 import type { LeaseClient, LeaseKeepAliveResponse } from '../generated/etcd/rpc.js'
 
-function createStatus (code: status, message: string): ServiceError {
+function createServiceError (code: status, message: string): ServiceError {
   return Object.assign(new Error(message), { code, details: message, metadata: undefined as never })
 }
 
@@ -22,12 +22,12 @@
   return new Promise((resolve) => {
     const stream = client.leaseKeepAlive(options)
     stream.on('data', (response: LeaseKeepAliveResponse) => {
-      const hasLapsed = response.TTL <= 0n
-      resolve(hasLapsed ? Err(createStatus(status.NOT_FOUND, 'the lease has lapsed')) : Ok(response))
+      const hasExpired = response.TTL <= 0n
+      resolve(hasExpired ? Err(createServiceError(status.NOT_FOUND, 'the lease has lapsed')) : Ok(response))
       stream.cancel()
     })
     stream.on('error', (error: ServiceError) => { resolve(Err(error)) })
-    stream.on('end', () => { resolve(Err(createStatus(status.UNKNOWN, 'the stream ended without an answer'))) })
+    stream.on('end', () => { resolve(Err(createServiceError(status.UNKNOWN, 'the stream ended without an answer'))) })
     stream.write({ ID: leaseId })
   })
 }
--- a/packages/adapters/src/node/tls/tlsKeeper.ts
+++ b/packages/adapters/src/node/tls/tlsKeeper.ts
@@ -28,14 +28,14 @@
  * servers and channels then use the current certificates for new connections.
  */
 export class TlsKeeper implements IClosable, experimental.CertificateProvider {
-  private readonly didChange = new Emitter<TlsMaterial>()
+  private readonly changeEmitter = new Emitter<TlsMaterial>()
   private readonly caListeners = new Set<CaListener>()
   private readonly identityListeners = new Set<IdentityListener>()
-  private context: SecureContext | undefined
-  private reading: Promise<boolean> | undefined
+  private secureContext: SecureContext | undefined
+  private pendingRenewal: Promise<boolean> | undefined
 
   /** Fires after renewed certificates were taken over. */
-  readonly onDidChange = this.didChange.event
+  readonly onDidChange = this.changeEmitter.event
 
   private constructor (private readonly options: TlsKeeperOptions, private material: TlsMaterial) {}
 
@@ -46,9 +46,9 @@
   static async load (options: TlsKeeperOptions): Promise<Result<TlsKeeper, StepError>> {
     const loaded = await loadTlsMaterial(options.section, options.files, options.clock.getWallTime())
     if (!loaded.ok) return loaded
-    const keeper = new TlsKeeper(options, loaded.val)
-    keeper.logMaterial('certificates loaded')
-    return new Ok(keeper)
+    const provider = new TlsKeeper(options, loaded.val)
+    provider.logMaterial('certificates loaded')
+    return new Ok(provider)
   }
 
   /** The certificates in use. */
@@ -72,8 +72,8 @@
    * @returns the certificates as connections use them
    */
   getSecureContext (): SecureContext {
-    this.context ??= createSecureContext(toContextOptions(this.material))
-    return this.context
+    this.secureContext ??= createSecureContext(toContextOptions(this.material))
+    return this.secureContext
   }
 
   /**
@@ -81,15 +81,15 @@
    * @returns whether renewed certificates were taken over
    */
   renew (): Promise<boolean> {
-    this.reading ??= this.readAgain().finally(() => { this.reading = undefined })
-    return this.reading
+    this.pendingRenewal ??= this.loadRenewed().finally(() => { this.pendingRenewal = undefined })
+    return this.pendingRenewal
   }
 
   addCaCertificateListener (listener: CaListener): void {
     this.caListeners.add(listener)
     // gRPC registers its own watcher only after this call; told at once, the
     // update would reach nobody and its server would drop every connection.
-    queueMicrotask(() => { if (this.caListeners.has(listener)) this.sendCa(listener) })
+    queueMicrotask(() => { if (this.caListeners.has(listener)) this.sendCaUpdate(listener) })
   }
 
   removeCaCertificateListener (listener: CaListener): void {
@@ -98,7 +98,7 @@
 
   addIdentityCertificateListener (listener: IdentityListener): void {
     this.identityListeners.add(listener)
-    queueMicrotask(() => { if (this.identityListeners.has(listener)) this.sendIdentity(listener) })
+    queueMicrotask(() => { if (this.identityListeners.has(listener)) this.sendIdentityUpdate(listener) })
   }
 
   removeIdentityCertificateListener (listener: IdentityListener): void {
@@ -106,7 +106,7 @@
   }
 
   close (): void {
-    this.didChange.close()
+    this.changeEmitter.close()
     this.caListeners.clear()
     this.identityListeners.clear()
   }
@@ -116,29 +116,29 @@
    * truncated or ended would leave the daemon unable to speak to anybody. It is
    * checked whole first; the old certificates stay until a check succeeds.
    */
-  private async readAgain (): Promise<boolean> {
+  private async loadRenewed (): Promise<boolean> {
     const { section, files, clock, logger } = this.options
     const loaded = await loadTlsMaterial(section, files, clock.getWallTime())
     if (!loaded.ok) {
       logError(logger, LogLevel.Error, loaded.val)
       return false
     }
-    if (isSame(loaded.val, this.material)) return false
+    if (isSameMaterial(loaded.val, this.material)) return false
     this.material = loaded.val
-    this.context = undefined
+    this.secureContext = undefined
     this.logMaterial('certificates renewed')
-    for (const listener of this.caListeners) this.sendCa(listener)
-    for (const listener of this.identityListeners) this.sendIdentity(listener)
-    this.didChange.fire(loaded.val)
+    for (const listener of this.caListeners) this.sendCaUpdate(listener)
+    for (const listener of this.identityListeners) this.sendIdentityUpdate(listener)
+    this.changeEmitter.fire(loaded.val)
     return true
   }
 
-  private sendCa (listener: CaListener): void {
+  private sendCaUpdate (listener: CaListener): void {
     const { ca } = this.material
     listener(ca === undefined ? null : { caCertificate: ca })
   }
 
-  private sendIdentity (listener: IdentityListener): void {
+  private sendIdentityUpdate (listener: IdentityListener): void {
     const { certificate, key } = this.material
     listener(certificate === undefined || key === undefined ? null : { certificate, privateKey: key })
   }
@@ -150,11 +150,11 @@
   }
 }
 
-function isSame (one: TlsMaterial, other: TlsMaterial): boolean {
-  return isEqual(one.certificate, other.certificate) && isEqual(one.key, other.key) && isEqual(one.ca, other.ca)
+function isSameMaterial (one: TlsMaterial, other: TlsMaterial): boolean {
+  return isSameContent(one.certificate, other.certificate) && isSameContent(one.key, other.key) && isSameContent(one.ca, other.ca)
 }
 
-function isEqual (one: Buffer | undefined, other: Buffer | undefined): boolean {
+function isSameContent (one: Buffer | undefined, other: Buffer | undefined): boolean {
   if (one === undefined || other === undefined) return one === other
   return one.equals(other)
 }
--- a/packages/adapters/src/node/tls/tlsMaterial.ts
+++ b/packages/adapters/src/node/tls/tlsMaterial.ts
@@ -6,7 +6,7 @@
 import { createSecureContext } from 'node:tls'
 
 const LOAD_STEP = 'load-tls'
-const PEM_CERTIFICATE = /-----BEGIN CERTIFICATE-----[\s\S]+?-----END CERTIFICATE-----/g
+const PEM_CERTIFICATE_PATTERN = /-----BEGIN CERTIFICATE-----[\s\S]+?-----END CERTIFICATE-----/g
 
 /** Where certificates are; which of them must be given is the settings' matter. */
 export interface TlsFiles {
@@ -34,11 +34,11 @@
 export async function loadTlsMaterial (section: string, files: TlsFiles, nowWallMs: number): Promise<Result<TlsMaterial, StepError>> {
   try {
     const certificates = await readCertificates(section, 'certificate', files.certificate)
-    const key = await readOptional(section, 'key', files.key)
-    const authorities = await readCertificates(section, 'ca', files.ca)
-    const material = { certificate: encodePem(certificates), key, ca: encodePem(authorities) }
-    const own = certificates?.[0]
-    const expiresAtWallMs = own === undefined ? undefined : checkIdentity(section, files, own, key, nowWallMs)
+    const key = await readOptionalFile(section, 'key', files.key)
+    const caCertificates = await readCertificates(section, 'ca', files.ca)
+    const material = { certificate: encodePem(certificates), key, ca: encodePem(caCertificates) }
+    const leaf = certificates?.[0]
+    const expiresAtWallMs = leaf === undefined ? undefined : checkIdentity(section, files, leaf, key, nowWallMs)
     checkContext(section, files, material)
     return new Ok({ ...material, expiresAtWallMs })
   } catch (thrown) {
@@ -47,7 +47,7 @@
   }
 }
 
-async function readOptional (section: string, name: string, path: string | undefined): Promise<Buffer | undefined> {
+async function readOptionalFile (section: string, name: string, path: string | undefined): Promise<Buffer | undefined> {
   if (path === undefined) return undefined
   try {
     return await readFile(path)
@@ -58,10 +58,10 @@
 }
 
 async function readCertificates (section: string, name: string, path: string | undefined): Promise<X509Certificate[] | undefined> {
-  const pem = await readOptional(section, name, path)
+  const pem = await readOptionalFile(section, name, path)
   if (pem === undefined) return undefined
   const field = `${section}.${name}`
-  const blocks = pem.toString('latin1').match(PEM_CERTIFICATE) ?? []
+  const blocks = pem.toString('latin1').match(PEM_CERTIFICATE_PATTERN) ?? []
   if (blocks.length === 0) throw createError(field, path ?? '', 'the file holds no certificate in PEM')
   try {
     return blocks.map((block) => new X509Certificate(block))
@@ -80,11 +80,11 @@
 }
 
 /** The first certificate of the file is the own one; intermediate ones follow. */
-function checkIdentity (section: string, files: TlsFiles, own: X509Certificate, keyPem: Buffer | undefined, nowWallMs: number): number {
+function checkIdentity (section: string, files: TlsFiles, leaf: X509Certificate, keyPem: Buffer | undefined, nowWallMs: number): number {
   const path = files.certificate ?? ''
-  const expiresAtWallMs = Date.parse(own.validTo)
-  if (expiresAtWallMs <= nowWallMs) throw createError(`${section}.certificate`, path, `the certificate ended at ${own.validTo}`)
-  if (!own.checkPrivateKey(parseKey(section, files.key ?? '', keyPem))) {
+  const expiresAtWallMs = Date.parse(leaf.validTo)
+  if (expiresAtWallMs <= nowWallMs) throw createError(`${section}.certificate`, path, `the certificate ended at ${leaf.validTo}`)
+  if (!leaf.checkPrivateKey(parseKey(section, files.key ?? '', keyPem))) {
     throw createError(`${section}.key`, files.key ?? '', 'the key does not belong to the certificate')
   }
   return expiresAtWallMs
--- a/packages/adapters/src/node/tls/tlsOptions.ts
+++ b/packages/adapters/src/node/tls/tlsOptions.ts
@@ -5,7 +5,7 @@
 import type { TlsKeeper } from './tlsKeeper.js'
 
 /** Sent where the other side is known by its IP number only (RFC 6761: never a real name). */
-const NO_SERVER_NAME = 'umberspar.invalid'
+const PLACEHOLDER_SERVER_NAME = 'umberspar.invalid'
 
 /** TLS options for one new connection to a worker. */
 export interface ConnectTls {
@@ -14,36 +14,36 @@
 }
 
 /**
- * @param keeper with certificate, key and CA
+ * @param provider with certificate, key and CA
  * @returns credentials of a gRPC server that takes only clients with a certificate of the CA
  */
-export function createServerCredentials (keeper: TlsKeeper): ServerCredentials {
-  return experimental.createCertificateProviderServerCredentials(keeper, keeper, true)
+export function createServerCredentials (provider: TlsKeeper): ServerCredentials {
+  return experimental.createCertificateProviderServerCredentials(provider, provider, true)
 }
 
 /**
- * @param keeper with a CA, and with certificate and key where the server asks for them
+ * @param provider with a CA, and with certificate and key where the server asks for them
  * @returns the security of gRPC channels; each new connection uses the current certificates
  */
-export function createChannelSecurity (keeper: TlsKeeper): ChannelSecurityFactory {
-  const identity = keeper.current.certificate === undefined ? null : keeper
+export function createChannelSecurity (provider: TlsKeeper): ChannelSecurityFactory {
+  const identity = provider.current.certificate === undefined ? null : provider
   return (address) => {
-    const name = keeper.serverName ?? new URL(`https://${address}`).hostname.replace(/^\[|\]$/g, '')
+    const expectedName = provider.serverName ?? new URL(`https://${address}`).hostname.replace(/^\[|\]$/g, '')
     // gRPC would send the address as server name, which TLS does not allow for IP
     // numbers; so another name is sent, and the certificate is checked against the address.
-    const credentials = experimental.createCertificateProviderChannelCredentials(keeper, identity, {
-      checkServerIdentity: (_sentName, certificate) => checkServerIdentity(name, certificate)
+    const credentials = experimental.createCertificateProviderChannelCredentials(provider, identity, {
+      checkServerIdentity: (_sentName, certificate) => checkServerIdentity(expectedName, certificate)
     })
-    return { credentials, options: { 'grpc.ssl_target_name_override': keeper.serverName ?? NO_SERVER_NAME } }
+    return { credentials, options: { 'grpc.ssl_target_name_override': provider.serverName ?? PLACEHOLDER_SERVER_NAME } }
   }
 }
 
 /**
- * @param keeper with a CA, and with certificate and key where the worker asks for them
+ * @param provider with a CA, and with certificate and key where the worker asks for them
  * @returns what a new connection uses now
  */
-export function buildConnectTls (keeper: TlsKeeper): ConnectTls {
-  const { serverName } = keeper
-  const secureContext = keeper.getSecureContext()
+export function buildConnectTls (provider: TlsKeeper): ConnectTls {
+  const { serverName } = provider
+  const secureContext = provider.getSecureContext()
   return serverName === undefined ? { secureContext } : { secureContext, servername: serverName }
 }
--- a/packages/adapters/src/node/upstream/attemptHandler.ts
+++ b/packages/adapters/src/node/upstream/attemptHandler.ts
@@ -7,7 +7,7 @@
 import { Err, Ok } from '@umberspar/base/common/result'
 import type { AttemptRequest, AttemptResponse } from './attempt.js'
 import { AttemptError } from './attempt.js'
-import { removeHopByHop } from './hopByHop.js'
+import { removeHopByHopHeaders } from './hopByHop.js'
 
 /** The step named in the errors of an attempt. */
 export const ATTEMPT_STEP = 'send-to-worker'
@@ -20,11 +20,11 @@
   Sent = 'sent',
   /** The response's headers have come. */
   Answering = 'answering',
-  Over = 'over'
+  Finished = 'over'
 }
 
 const INVALID_REQUEST_CODES: ReadonlySet<string> = new Set(['UND_ERR_INVALID_ARG', 'UND_ERR_NOT_SUPPORTED', 'UND_ERR_REQ_CONTENT_LENGTH_MISMATCH'])
-const FIRST_FINAL_STATUS = 200
+const MIN_FINAL_STATUS = 200
 
 function classifyUnsent (failure: Error): ErrorCode {
   const code = (failure as NodeJS.ErrnoException).code ?? ''
@@ -47,12 +47,12 @@
   /**
    * @param request what is sent
    * @param clock for the deadline
-   * @param onOver called once when the connection is done with the attempt, and whether it may carry another
+   * @param onFinished called once when the connection is done with the attempt, and whether it may carry another
    */
   constructor (
     private readonly request: AttemptRequest,
     clock: IClock,
-    private readonly onOver: (isReusable: boolean) => void
+    private readonly onFinished: (isReusable: boolean) => void
   ) {
     this.result = new Promise((resolve) => { this.resolve = resolve })
     this.timer = clock.schedule(request.deadline, () => { this.cancel(ErrorCode.DeadlinePassed, 'the deadline passed') })
@@ -72,10 +72,10 @@
   }
 
   onResponseStart (controller: Dispatcher.DispatchController, status: number, headers: Record<string, string | string[] | undefined>): void {
-    if (status < FIRST_FINAL_STATUS) return
+    if (status < MIN_FINAL_STATUS) return
     this.phase = Phase.Answering
     this.body = this.createBody(controller)
-    this.resolve(Ok({ status, headers: removeHopByHop(headers), body: this.body }))
+    this.resolve(Ok({ status, headers: removeHopByHopHeaders(headers), body: this.body }))
   }
 
   onResponseData (controller: Dispatcher.DispatchController, chunk: Buffer): void {
@@ -83,10 +83,10 @@
   }
 
   onResponseEnd (): void {
-    if (this.phase === Phase.Over) return
-    this.stopWatching()
+    if (this.phase === Phase.Finished) return
+    this.finish()
     this.body?.push(null)
-    this.onOver(true)
+    this.onFinished(true)
   }
 
   onResponseError (_controller: Dispatcher.DispatchController | undefined, failure: Error): void {
@@ -99,25 +99,25 @@
   }
 
   private cancel (code: ErrorCode, message: string): void {
-    if (this.phase === Phase.Over) return
+    if (this.phase === Phase.Finished) return
     const isLate = code === ErrorCode.DeadlinePassed
-    const isSentLate = isLate && this.phase !== Phase.Waiting
-    const error = this.createError(isSentLate ? ErrorCode.EffectUnknown : code, message, undefined, isLate)
+    const isDeadlineAfterSend = isLate && this.phase !== Phase.Waiting
+    const error = this.createError(isDeadlineAfterSend ? ErrorCode.EffectUnknown : code, message, undefined, isLate)
     this.controller?.abort(error)
     // Before the start there is no controller; after it abort has called onResponseError already.
     this.settleFailure(error)
   }
 
   private settleFailure (error: AttemptError): void {
-    if (this.phase === Phase.Over) return
-    this.stopWatching()
+    if (this.phase === Phase.Finished) return
+    this.finish()
     if (this.body === undefined) this.resolve(Err(error))
     else this.body.destroy(error)
-    this.onOver(false)
+    this.onFinished(false)
   }
 
-  private stopWatching (): void {
-    this.phase = Phase.Over
+  private finish (): void {
+    this.phase = Phase.Finished
     this.timer.close()
     this.request.signal.removeEventListener('abort', this.onAbort)
   }
--- a/packages/adapters/src/node/upstream/orca.ts
+++ b/packages/adapters/src/node/upstream/orca.ts
@@ -11,49 +11,49 @@
   readonly inFlight?: number
 }
 
-type LoadFields = ReadonlyMap<string, number>
+type NumberFields = ReadonlyMap<string, number>
 
 /** Flat names of the fields in use, in the order of preference. */
 const UTILIZATION_FIELDS = ['application_utilization', 'cpu_utilization']
 const IN_FLIGHT_FIELD = 'named_metrics.in_flight'
-const NESTED_FIELD = 'named_metrics'
+const NAMED_METRICS_FIELD = 'named_metrics'
 
-function addNumber (fields: Map<string, number>, name: string, value: unknown): void {
+function addValidNumber (fields: Map<string, number>, name: string, value: unknown): void {
   if (typeof value === 'number' && Number.isFinite(value) && value >= 0) fields.set(name, value)
 }
 
-function parseJsonForm (text: string): LoadFields {
+function parseJsonFormat (text: string): NumberFields {
   const fields = new Map<string, number>()
   const parsed: unknown = JSON.parse(text)
   if (typeof parsed !== 'object' || parsed === null) return fields
   for (const [name, value] of Object.entries(parsed)) {
-    addNumber(fields, name, value)
-    if (name !== NESTED_FIELD || typeof value !== 'object' || value === null) continue
-    for (const [inner, innerValue] of Object.entries(value)) addNumber(fields, `${NESTED_FIELD}.${inner}`, innerValue)
+    addValidNumber(fields, name, value)
+    if (name !== NAMED_METRICS_FIELD || typeof value !== 'object' || value === null) continue
+    for (const [metric, metricValue] of Object.entries(value)) addValidNumber(fields, `${NAMED_METRICS_FIELD}.${metric}`, metricValue)
   }
   return fields
 }
 
-function parseTextForm (text: string): LoadFields {
+function parseTextFormat (text: string): NumberFields {
   const fields = new Map<string, number>()
   for (const pair of text.split(',')) {
     const separator = pair.search(/[=:]/)
     if (separator < 0) continue
     const value = pair.slice(separator + 1).trim()
-    if (value !== '') addNumber(fields, pair.slice(0, separator).trim(), Number(value))
+    if (value !== '') addValidNumber(fields, pair.slice(0, separator).trim(), Number(value))
   }
   return fields
 }
 
-const PARSER_BY_FORM: ReadonlyMap<string, (text: string) => LoadFields> = new Map([
-  ['JSON', parseJsonForm],
-  ['TEXT', parseTextForm]
+const PARSER_BY_FORMAT: ReadonlyMap<string, (text: string) => NumberFields> = new Map([
+  ['JSON', parseJsonFormat],
+  ['TEXT', parseTextFormat]
 ])
 
-function parseFields (header: string): LoadFields | undefined {
+function parseFields (header: string): NumberFields | undefined {
   const separator = header.indexOf(' ')
   if (separator < 0) return undefined
-  const parse = PARSER_BY_FORM.get(header.slice(0, separator))
+  const parse = PARSER_BY_FORMAT.get(header.slice(0, separator))
   try {
     return parse?.(header.slice(separator + 1))
   } catch {
@@ -70,7 +70,7 @@
   const header = [headers[LOAD_HEADER] ?? []].flat()[0]
   if (header === undefined) return undefined
   const fields = parseFields(header)
-  const used = UTILIZATION_FIELDS.find((name) => fields?.has(name))
-  if (fields === undefined || used === undefined) return undefined
-  return { utilization: fields.get(used) ?? 0, inFlight: fields.get(IN_FLIGHT_FIELD) }
+  const utilizationField = UTILIZATION_FIELDS.find((name) => fields?.has(name))
+  if (fields === undefined || utilizationField === undefined) return undefined
+  return { utilization: fields.get(utilizationField) ?? 0, inFlight: fields.get(IN_FLIGHT_FIELD) }
 }
--- a/packages/adapters/src/node/upstream/upstreamTransport.ts
+++ b/packages/adapters/src/node/upstream/upstreamTransport.ts
@@ -20,7 +20,7 @@
 import { AttemptError, type ProbeScope } from './attempt.js'
 import { ATTEMPT_STEP, AttemptHandler } from './attemptHandler.js'
 import type { TlsKeeper } from '../tls/tlsKeeper.js'
-import { removeHopByHop } from './hopByHop.js'
+import { removeHopByHopHeaders } from './hopByHop.js'
 import { WorkerConnections } from './workerConnections.js'
 import { ProbeReader } from './workerProbe.js'
 
@@ -39,7 +39,7 @@
   private readonly workers = new Map<string, WorkerConnections>()
   private readonly clock: IClock
   private readonly tls: TlsKeeper | undefined
-  private readonly probes = new ProbeReader(this)
+  private readonly probeReader = new ProbeReader(this)
   private isClosed = false
 
   constructor (options: UndiciTransportOptions) {
@@ -64,20 +64,20 @@
   }
 
   async send (request: AttemptRequest): Promise<Result<AttemptResponse, AttemptError>> {
-    const refusal = this.checkRequest(request)
-    if (refusal !== undefined) return Err(refusal)
+    const error = this.checkRequest(request)
+    if (error !== undefined) return Err(error)
     const connections = this.workers.get(request.address)
-    if (connections === undefined) return Err(createUnsent(request, ErrorCode.NotFound, 'no such worker'))
+    if (connections === undefined) return Err(createUnsentError(request, ErrorCode.NotFound, 'no such worker'))
     const client = connections.acquire()
-    if (client === undefined) return Err(createUnsent(request, ErrorCode.Exhausted, 'all connections are taken'))
+    if (client === undefined) return Err(createUnsentError(request, ErrorCode.Exhausted, 'all connections are taken'))
     const handler = new AttemptHandler(request, this.clock, (isReusable) => { connections.release(client, isReusable) })
     const { method, path, body } = request
-    client.dispatch({ method, path, body, headers: removeHopByHop(request.headers) }, handler)
+    client.dispatch({ method, path, body, headers: removeHopByHopHeaders(request.headers) }, handler)
     return handler.result
   }
 
   probe (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>> {
-    return this.probes.fetch(address, deadline, scope)
+    return this.probeReader.fetchProbe(address, deadline, scope)
   }
 
   /** Ends all connections at once; whoever stops gracefully lets its requests finish before. */
@@ -88,14 +88,14 @@
   }
 
   private checkRequest (request: AttemptRequest): AttemptError | undefined {
-    if (this.isClosed) return createUnsent(request, ErrorCode.Cancelled, 'the transport is closed')
-    if (request.signal.aborted) return createUnsent(request, ErrorCode.Cancelled, 'the attempt was cancelled')
+    if (this.isClosed) return createUnsentError(request, ErrorCode.Cancelled, 'the transport is closed')
+    if (request.signal.aborted) return createUnsentError(request, ErrorCode.Cancelled, 'the attempt was cancelled')
     if (!hasPassed(request.deadline, this.clock.now())) return undefined
-    return createUnsent(request, ErrorCode.DeadlinePassed, 'the deadline had passed')
+    return createUnsentError(request, ErrorCode.DeadlinePassed, 'the deadline had passed')
   }
 }
 
-function createUnsent (request: AttemptRequest, code: ErrorCode, message: string): AttemptError {
+function createUnsentError (request: AttemptRequest, code: ErrorCode, message: string): AttemptError {
   return new AttemptError({
     code,
     step: ATTEMPT_STEP,
--- a/packages/adapters/src/node/upstream/workerConnections.ts
+++ b/packages/adapters/src/node/upstream/workerConnections.ts
@@ -9,13 +9,13 @@
  * closing first avoids the race in which a request goes out while the server's
  * close is on its way, which ends as "unknown" although nothing ran.
  */
-const IDLE_SPAN_MS = 2000
+const IDLE_TIMEOUT_MS = 2000
 /** Servers' hints may shorten the idle span, never lengthen it. */
-const IDLE_HINT_MARGIN_MS = 1000
+const KEEP_ALIVE_HINT_MARGIN_MS = 1000
 /** A lost SYN is repeated after 1 s; a worker that misses both is not waited for. */
-const CONNECT_SPAN_MS = 2000
+const CONNECT_TIMEOUT_MS = 2000
 /** undici's own limits are off: the attempt's deadline alone bounds it. */
-const NO_LIMIT = 0
+const NO_TIMEOUT = 0
 
 /**
  * Holds one undici Client per connection, each with one request at a time.
@@ -24,9 +24,9 @@
  * a request that finds no connection is refused at once.
  */
 export class WorkerConnections implements IClosable {
-  private readonly open = new Set<Client>()
+  private readonly openClients = new Set<Client>()
   /** The last used connection is last and is taken first: the others may then lapse. */
-  private readonly idle: Client[] = []
+  private readonly idleClients: Client[] = []
   private limit = 0
 
   /**
@@ -40,7 +40,7 @@
 
   /** @returns whether no connection is left */
   isEmpty (): boolean {
-    return this.open.size === 0
+    return this.openClients.size === 0
   }
 
   /** @param limit connections from now on; idle ones above it close at once, used ones after their request */
@@ -51,9 +51,9 @@
 
   /** @returns a connection for one request; undefined if all are taken */
   acquire (): Client | undefined {
-    const idle = this.idle.pop()
-    if (idle !== undefined) return idle
-    if (this.open.size >= this.limit) return undefined
+    const client = this.idleClients.pop()
+    if (client !== undefined) return client
+    if (this.openClients.size >= this.limit) return undefined
     return this.openClient()
   }
 
@@ -67,16 +67,16 @@
       this.closeClient(client)
       return
     }
-    this.idle.push(client)
+    this.idleClients.push(client)
     this.closeExcess()
   }
 
   /** Closes all connections, those with open requests too. */
   async close (): Promise<void> {
     this.limit = 0
-    this.idle.length = 0
-    await Promise.all([...this.open].map((client) => client.destroy()))
-    this.open.clear()
+    this.idleClients.length = 0
+    await Promise.all([...this.openClients].map((client) => client.destroy()))
+    this.openClients.clear()
   }
 
   private openClient (): Client {
@@ -84,35 +84,35 @@
     const client = new Client(`${tls === undefined ? 'http' : 'https'}://${this.address}`, {
       ...(tls === undefined ? {} : { connect: buildConnectTls(tls) }),
       pipelining: 1,
-      keepAliveTimeout: IDLE_SPAN_MS,
-      keepAliveMaxTimeout: IDLE_SPAN_MS,
-      keepAliveTimeoutThreshold: IDLE_HINT_MARGIN_MS,
-      connectTimeout: CONNECT_SPAN_MS,
-      headersTimeout: NO_LIMIT,
-      bodyTimeout: NO_LIMIT
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
+      keepAliveMaxTimeout: IDLE_TIMEOUT_MS,
+      keepAliveTimeoutThreshold: KEEP_ALIVE_HINT_MARGIN_MS,
+      connectTimeout: CONNECT_TIMEOUT_MS,
+      headersTimeout: NO_TIMEOUT,
+      bodyTimeout: NO_TIMEOUT
     })
     client.on('disconnect', () => { this.removeIdle(client) })
-    this.open.add(client)
+    this.openClients.add(client)
     return client
   }
 
   private closeExcess (): void {
-    while (this.idle.length > 0 && this.open.size > this.limit) {
-      const oldest = this.idle.shift()
+    while (this.idleClients.length > 0 && this.openClients.size > this.limit) {
+      const oldest = this.idleClients.shift()
       if (oldest !== undefined) this.closeClient(oldest)
     }
   }
 
   private removeIdle (client: Client): void {
-    const index = this.idle.indexOf(client)
+    const index = this.idleClients.indexOf(client)
     if (index < 0) return
-    this.idle.splice(index, 1)
+    this.idleClients.splice(index, 1)
     this.closeClient(client)
   }
 
   /** The connection counts until its socket is closed, so that a new one can't exceed the limit. */
   private closeClient (client: Client): void {
-    const removeClient = (): void => { this.open.delete(client) }
+    const removeClient = (): void => { this.openClients.delete(client) }
     client.destroy().then(removeClient, removeClient)
   }
 }
--- a/packages/adapters/src/node/upstream/workerProbe.ts
+++ b/packages/adapters/src/node/upstream/workerProbe.ts
@@ -13,7 +13,7 @@
 const LOAD_PATH = '/load'
 const STATUS_OK = 200
 /** More than any probe's answer needs; a worker that sends more is not believed. */
-const MAX_BODY_BYTES = 65_536
+const MAX_PROBE_BODY_BYTES = 65_536
 
 /** What a worker says of its state. */
 enum WorkerState {
@@ -27,11 +27,11 @@
 
 async function readBody (body: Readable): Promise<string> {
   const chunks: Buffer[] = []
-  let size = 0
+  let sizeBytes = 0
   for await (const chunk of body) {
     const bytes = chunk as Buffer
-    size += bytes.byteLength
-    if (size > MAX_BODY_BYTES) throw new Error(`the answer exceeds ${MAX_BODY_BYTES} bytes`)
+    sizeBytes += bytes.byteLength
+    if (sizeBytes > MAX_PROBE_BODY_BYTES) throw new Error(`the answer exceeds ${MAX_PROBE_BODY_BYTES} bytes`)
     chunks.push(bytes)
   }
   return Buffer.concat(chunks).toString('utf8')
@@ -47,7 +47,7 @@
   }
 }
 
-interface ProbeAnswer<T> {
+interface ProbeResponse<T> {
   readonly status: number
   readonly value: T
 }
@@ -62,8 +62,8 @@
    * @param scope what to ask for
    * @returns what the worker says of itself
    */
-  async fetch (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>> {
-    const health = await this.fetchAnswer(address, HEALTH_PATH, healthSchema, deadline)
+  async fetchProbe (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>> {
+    const health = await this.fetchJson(address, HEALTH_PATH, healthSchema, deadline)
     if (health.err) return health
     const load = await this.fetchLoad(address, deadline, scope)
     if (load.err) return load
@@ -78,11 +78,11 @@
 
   private async fetchLoad (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<ProbedLoad | undefined, StepError>> {
     if (scope === ProbeScope.Health) return Ok(undefined)
-    const load = await this.fetchAnswer(address, LOAD_PATH, loadSchema, deadline)
+    const load = await this.fetchJson(address, LOAD_PATH, loadSchema, deadline)
     return load.err ? load : Ok(load.val.value)
   }
 
-  private async fetchAnswer<T> (address: string, path: string, schema: z.ZodType<T>, deadline: Deadline): Promise<Result<ProbeAnswer<T>, StepError>> {
+  private async fetchJson<T> (address: string, path: string, schema: z.ZodType<T>, deadline: Deadline): Promise<Result<ProbeResponse<T>, StepError>> {
     const signal = new AbortController().signal
     const sent = await this.transport.send({ workerId: address, address, method: 'GET', path, headers: {}, body: null, deadline, signal })
     if (sent.err) return sent
--- a/packages/adapters/src/node/vms/httpVmList.ts
+++ b/packages/adapters/src/node/vms/httpVmList.ts
@@ -14,7 +14,7 @@
 const STATUS_OK = 200
 /** About fifteen times the list of the largest fleet planned for (some 250 bytes a VM). */
 const MAX_BODY_BYTES = 33_554_432
-const NO_LIMIT = 0
+const NO_TIMEOUT = 0
 
 /** What an HttpVmList needs. */
 export interface HttpVmListOptions {
@@ -32,18 +32,18 @@
   constructor (options: HttpVmListOptions) {
     this.url = new URL(options.url)
     this.clock = options.clock
-    this.client = new Client(this.url.origin, { headersTimeout: NO_LIMIT, bodyTimeout: NO_LIMIT, maxResponseSize: MAX_BODY_BYTES })
+    this.client = new Client(this.url.origin, { headersTimeout: NO_TIMEOUT, bodyTimeout: NO_TIMEOUT, maxResponseSize: MAX_BODY_BYTES })
   }
 
   async fetch (deadline: Deadline): Promise<Result<VmListSnapshot, StepError>> {
-    if (hasPassed(deadline, this.clock.now())) return this.createFailure(ErrorCode.DeadlinePassed, 'the deadline had passed')
-    const aborter = new AbortController()
-    const timer = this.clock.schedule(deadline, () => { aborter.abort(new Error('the deadline passed')) })
+    if (hasPassed(deadline, this.clock.now())) return this.createError(ErrorCode.DeadlinePassed, 'the deadline had passed')
+    const abortController = new AbortController()
+    const timer = this.clock.schedule(deadline, () => { abortController.abort(new Error('the deadline passed')) })
     try {
-      const answer = await this.client.request({ method: 'GET', path: this.url.pathname + this.url.search, signal: aborter.signal })
-      return await this.parseAnswer(answer)
+      const response = await this.client.request({ method: 'GET', path: this.url.pathname + this.url.search, signal: abortController.signal })
+      return await this.parseResponse(response)
     } catch (thrown) {
-      return this.createFailure(ErrorCode.Unavailable, thrown instanceof Error ? thrown.message : String(thrown), thrown)
+      return this.createError(ErrorCode.Unavailable, thrown instanceof Error ? thrown.message : String(thrown), thrown)
     } finally {
       timer.close()
     }
@@ -53,18 +53,18 @@
     await this.client.destroy()
   }
 
-  private async parseAnswer (answer: Dispatcher.ResponseData): Promise<Result<VmListSnapshot, StepError>> {
+  private async parseResponse (response: Dispatcher.ResponseData): Promise<Result<VmListSnapshot, StepError>> {
     // The body is read in any case: a connection with an unread body can't be used again.
-    const text = await answer.body.text()
-    if (answer.statusCode !== STATUS_OK) return this.createFailure(ErrorCode.Unavailable, `status ${answer.statusCode}`)
+    const text = await response.body.text()
+    if (response.statusCode !== STATUS_OK) return this.createError(ErrorCode.Unavailable, `status ${response.statusCode}`)
     try {
       return Ok(vmListSchema.parse(JSON.parse(text)))
     } catch (thrown) {
-      return this.createFailure(ErrorCode.Invalid, 'the answer is not a list of VMs', thrown)
+      return this.createError(ErrorCode.Invalid, 'the answer is not a list of VMs', thrown)
     }
   }
 
-  private createFailure (code: ErrorCode, message: string, cause?: unknown): Result<VmListSnapshot, StepError> {
+  private createError (code: ErrorCode, message: string, cause?: unknown): Result<VmListSnapshot, StepError> {
     return Err(new StepError({ code, step: FETCH_STEP, peer: this.url.host, message, cause }))
   }
 }
--- a/packages/adapters/test/node/peers/peers.test.ts
+++ b/packages/adapters/test/node/peers/peers.test.ts
@@ -10,7 +10,7 @@
 import { PeerClient } from '../../../src/node/peers/peerClient.js'
 import { PeerServer } from '../../../src/node/peers/peerServer.js'
 
-const GENEROUS_SPAN_MS = 60_000
+const TEST_TIMEOUT_MS = 60_000
 const clock = new SystemClock()
 const document = { name: 'configuration', version: 5, digest: 'ab', changeId: 'c' }
 const cleanUps: Array<() => Promise<void> | void> = []
@@ -20,7 +20,7 @@
 })
 
 /** Keeps what it was sent. */
-class FakeService implements IPeerService {
+class FakePeerService implements IPeerService {
   stored: PeerDocument | undefined
   readonly digests: Digest[] = []
   readonly loans: LoanRequest[] = []
@@ -51,7 +51,7 @@
   }
 }
 
-async function openPair (service: IPeerService): Promise<{ client: PeerClient, server: PeerServer, address: string }> {
+async function openConnectedPair (service: IPeerService): Promise<{ client: PeerClient, server: PeerServer, address: string }> {
   const server = new PeerServer({ address: '127.0.0.1:0', service, clock, logger: NULL_LOGGER })
   const port = await server.listen()
   assert.ok(port.ok)
@@ -60,8 +60,8 @@
   return { client, server, address: `127.0.0.1:${port.val}` }
 }
 
-function createFar (): number {
-  return createDeadline(clock.now(), GENEROUS_SPAN_MS)
+function createTestDeadline (): number {
+  return createDeadline(clock.now(), TEST_TIMEOUT_MS)
 }
 
 function createDocument (size: number): PeerDocument {
@@ -70,29 +70,29 @@
 
 describe('peers over gRPC', () => {
   it('carries a document of several chunks both ways, and none where the peer has no higher version', async () => {
-    const { client, address } = await openPair(new FakeService())
+    const { client, address } = await openConnectedPair(new FakePeerService())
     for (const size of [0, 1, CHUNK_BYTES, 5 * CHUNK_BYTES + 17]) {
       const sent = createDocument(size)
-      const pushed = await client.push(address, sent, createFar())
+      const pushed = await client.push(address, sent, createTestDeadline())
       assert.equal(pushed.val, 5)
-      const fetched = await client.fetch(address, 'configuration', 4, createFar())
+      const fetched = await client.fetch(address, 'configuration', 4, createTestDeadline())
       assert.ok(fetched.ok)
       assert.deepEqual(fetched.val?.document, document)
       assert.ok(Buffer.from(fetched.val?.body ?? []).equals(Buffer.from(sent.body)))
     }
-    const none = await client.fetch(address, 'configuration', 5, createFar())
+    const none = await client.fetch(address, 'configuration', 5, createTestDeadline())
     assert.ok(none.ok)
     assert.equal(none.val, undefined)
   })
 
   it('carries digests, with ages that never make a measurement newer', async () => {
-    const service = new FakeService()
-    const { client, address } = await openPair(service)
+    const service = new FakePeerService()
+    const { client, address } = await openConnectedPair(service)
     const measuredAt = clock.now()
     const report = { workerId: 'w', utilization: 0.5, inFlight: 3, measuredAt, isDraining: false, isHealthy: true, isStarting: false, isProbed: true, hasLoad: true }
     const member = { nodeId: 'third', incarnation: 4, beat: 7, state: NodeState.Live as const, documents: [document], demand: [], isSuspected: true }
     const digest: Digest = { nodeId: 'asking', state: NodeState.Leaving, incarnation: 2, documents: [document], demand: [], workers: [report], region: 'r', failureDomain: 'd', beat: 9, members: [member], confirmedAt: measuredAt }
-    const answer = await client.exchange(address, digest, createFar())
+    const answer = await client.exchange(address, digest, createTestDeadline())
     assert.ok(answer.ok)
     const [seen] = service.digests
     assert.deepEqual([seen?.nodeId, seen?.state, seen?.incarnation, seen?.documents], ['asking', NodeState.Leaving, 2, [document]])
@@ -107,30 +107,30 @@
   it('gives the borrower a deadline that does not lie after the lender’s', async () => {
     // Both sides of a loan count it by their own clocks. If the borrower's ended
     // later, both would use the same slots for a moment and overload the worker.
-    const service = new FakeService()
-    const { client, address } = await openPair(service)
-    const request = { borrowerId: 'b', loanId: 'l', workerId: 'w', slots: 2, connections: 2, deadline: createFar() }
-    const answer = await client.borrow(address, request, createFar())
+    const service = new FakePeerService()
+    const { client, address } = await openConnectedPair(service)
+    const request = { borrowerId: 'b', loanId: 'l', workerId: 'w', slots: 2, connections: 2, deadline: createTestDeadline() }
+    const answer = await client.borrow(address, request, createTestDeadline())
     assert.ok(answer.ok)
     const lenders = service.loans[0]?.deadline ?? 0
     assert.ok(answer.val.deadline <= lenders)
-    assert.ok((await client.returnLoan(address, { borrowerId: 'b', loanId: 'l' }, createFar())).ok)
+    assert.ok((await client.returnLoan(address, { borrowerId: 'b', loanId: 'l' }, createTestDeadline())).ok)
     assert.deepEqual(service.returns, [{ borrowerId: 'b', loanId: 'l' }])
   })
 
   it('reports errors with step and peer: refused, unreachable, lost', async () => {
-    const service = new FakeService()
-    const { client, server, address } = await openPair(service)
-    const refused = await client.fetch(address, 'broken', 0, createFar())
+    const service = new FakePeerService()
+    const { client, server, address } = await openConnectedPair(service)
+    const refused = await client.fetch(address, 'broken', 0, createTestDeadline())
     assert.ok(refused.err)
     assert.deepEqual([refused.val.code, refused.val.step, refused.val.peer], [ErrorCode.NotFound, 'peer-fetch', address])
     service.push = () => Promise.reject(new Error('fault'))
-    const lost = await client.push(address, createDocument(3 * CHUNK_BYTES), createFar())
+    const lost = await client.push(address, createDocument(3 * CHUNK_BYTES), createTestDeadline())
     assert.ok(lost.err)
     assert.equal(lost.val.code, ErrorCode.EffectUnknown)
     client.closePeer(address)
     await server.close()
-    const unreachable = await client.push(address, createDocument(1), createFar())
+    const unreachable = await client.push(address, createDocument(1), createTestDeadline())
     assert.ok(unreachable.err)
     assert.equal(unreachable.val.code, ErrorCode.Unavailable)
   })
--- a/packages/adapters/test/node/settings/daemonSettings.test.ts
+++ b/packages/adapters/test/node/settings/daemonSettings.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test'
 import { validateDaemonSettings } from '../../../src/node/settings/daemonSettings.js'
 
-const FILES = { certificate: 'c.pem', key: 'k.pem' }
-const BASE = {
+const TLS_FILES = { certificate: 'c.pem', key: 'k.pem' }
+const VALID_SETTINGS = {
   nodeId: 'entry-1',
   region: 'klang',
   failureDomain: 'klang-a',
@@ -14,27 +14,27 @@
   vmList: { url: 'http://127.0.0.1:5/v1/vms' }
 }
 
-function listPaths (changes: object): string[] {
-  const checked = validateDaemonSettings({ ...BASE, ...changes })
+function listRefusedPaths (changes: object): string[] {
+  const checked = validateDaemonSettings({ ...VALID_SETTINGS, ...changes })
   return checked.ok ? [] : checked.val.map(({ path }) => path)
 }
 
 test('tls sections and limits are accepted whole, and refused by the path of the field', () => {
-  const { callers, peers, operators, store } = BASE
-  assert.deepEqual(listPaths({}), [])
-  assert.deepEqual(listPaths({
-    callers: { ...callers, tls: FILES, limits: { maxConnections: 10 } },
-    peers: { ...peers, tls: { ...FILES, ca: 'ca.pem', serverName: 'umberspard' } },
-    operators: { ...operators, tls: FILES, limits: {} },
+  const { callers, peers, operators, store } = VALID_SETTINGS
+  assert.deepEqual(listRefusedPaths({}), [])
+  assert.deepEqual(listRefusedPaths({
+    callers: { ...callers, tls: TLS_FILES, limits: { maxConnections: 10 } },
+    peers: { ...peers, tls: { ...TLS_FILES, ca: 'ca.pem', serverName: 'umberspard' } },
+    operators: { ...operators, tls: TLS_FILES, limits: {} },
     store: { ...store, tls: { ca: 'ca.pem' } },
-    upstreams: { tls: { ...FILES, ca: 'ca.pem' } },
+    upstreams: { tls: { ...TLS_FILES, ca: 'ca.pem' } },
     certificateRereadMs: 1000
   }), [])
-  assert.deepEqual(listPaths({ peers: { ...peers, tls: FILES } }), ['peers.tls.ca'])
-  assert.deepEqual(listPaths({ callers: { ...callers, tls: { ...FILES, key: '' } } }), ['callers.tls.key'])
-  assert.deepEqual(listPaths({ callers: { ...callers, tls: { ...FILES, ca: 'ca.pem' } } }), ['callers.tls'])
-  assert.deepEqual(listPaths({ store: { ...store, tls: { ca: 'ca.pem', key: 'k.pem' } } }), ['store.tls'])
-  assert.deepEqual(listPaths({ callers: { ...callers, limits: { maxConnections: 0 } } }), ['callers.limits.maxConnections'])
-  assert.deepEqual(listPaths({ callers: { ...callers, limits: { maxHeaderBytes: 2048 } } }), ['callers.limits.maxTargetBytes'])
-  assert.deepEqual(listPaths({ certificateRereadMs: 1 }), ['certificateRereadMs'])
+  assert.deepEqual(listRefusedPaths({ peers: { ...peers, tls: TLS_FILES } }), ['peers.tls.ca'])
+  assert.deepEqual(listRefusedPaths({ callers: { ...callers, tls: { ...TLS_FILES, key: '' } } }), ['callers.tls.key'])
+  assert.deepEqual(listRefusedPaths({ callers: { ...callers, tls: { ...TLS_FILES, ca: 'ca.pem' } } }), ['callers.tls'])
+  assert.deepEqual(listRefusedPaths({ store: { ...store, tls: { ca: 'ca.pem', key: 'k.pem' } } }), ['store.tls'])
+  assert.deepEqual(listRefusedPaths({ callers: { ...callers, limits: { maxConnections: 0 } } }), ['callers.limits.maxConnections'])
+  assert.deepEqual(listRefusedPaths({ callers: { ...callers, limits: { maxHeaderBytes: 2048 } } }), ['callers.limits.maxTargetBytes'])
+  assert.deepEqual(listRefusedPaths({ certificateRereadMs: 1 }), ['certificateRereadMs'])
 })
--- a/packages/adapters/test/node/store/etcdStore.test.ts
+++ b/packages/adapters/test/node/store/etcdStore.test.ts
@@ -14,7 +14,7 @@
 import { computeRangeEnd } from '../../../src/node/store/etcdMessages.js'
 import { createEtcdStore } from '../../../src/node/store/etcdStore.js'
 
-const GENEROUS_SPAN_MS = 60_000
+const TEST_TIMEOUT_MS = 60_000
 const clock = new SystemClock()
 const header = { clusterId: 1n, memberId: 1n, revision: 42n, raftTerm: 1n }
 const put = { key: 'k', value: Buffer.from('v'), kind: 'put' as const }
@@ -79,9 +79,9 @@
   return { type, kv: { key: Buffer.from(key), value: Buffer.from('v'), modRevision, createRevision: 1n, version: 1n, lease: 0n }, prevKv: undefined }
 }
 
-async function openFake (): Promise<FakeEtcd> {
+async function openFakeEtcd (): Promise<FakeEtcd> {
   const server = new Server()
-  const fake = { server, address: '', ranges: [], transactions: [], watches: [], created: [], leaseSeconds: 10n, onTransaction: answerApplied }
+  const fake = { server, address: '', ranges: [], transactions: [], watches: [], created: [], leaseSeconds: 10n, onTransaction: answerTransactionApplied }
   addServices(fake)
   const port = await new Promise<number>((resolve, reject) => {
     server.bindAsync('127.0.0.1:0', ServerCredentials.createInsecure(), (error, bound) => error === null ? resolve(bound) : reject(error))
@@ -90,11 +90,11 @@
   return Object.assign(fake, { address: `127.0.0.1:${port}` })
 }
 
-const answerApplied: KVServer['txn'] = (_call, callback) => { callback(null, { header, succeeded: true, responses: [] }) }
+const answerTransactionApplied: KVServer['txn'] = (_call, callback) => { callback(null, { header, succeeded: true, responses: [] }) }
 
 /** An address at which nothing listens any more. */
 async function findClosedAddress (): Promise<string> {
-  const fake = await openFake()
+  const fake = await openFakeEtcd()
   fake.server.forceShutdown()
   return fake.address
 }
@@ -105,18 +105,18 @@
   return store
 }
 
-function createFar (): number {
-  return createDeadline(clock.now(), GENEROUS_SPAN_MS)
+function createTestDeadline (): number {
+  return createDeadline(clock.now(), TEST_TIMEOUT_MS)
 }
 
 describe('EtcdStore, writes', () => {
   it('says that the effect is unknown, and sends nothing again, when the answer is lost', async () => {
     // An operator's patch is written; the store applies it and dies before it answers.
     // Sending it again, or calling it unavailable, could apply it twice or hide it.
-    const fake = await openFake()
+    const fake = await openFakeEtcd()
     fake.onTransaction = () => { fake.server.forceShutdown() }
-    const second = await openFake()
-    const written = await openStore(fake.address, second.address).transact({ conditions: [{ key: 'k', modRevision: 0 }], writes: [put] }, createFar())
+    const second = await openFakeEtcd()
+    const written = await openStore(fake.address, second.address).transact({ conditions: [{ key: 'k', modRevision: 0 }], writes: [put] }, createTestDeadline())
     assert.ok(written.err)
     assert.deepEqual([written.val.code, written.val.peer], [ErrorCode.EffectUnknown, fake.address])
     assert.deepEqual([fake.transactions.length, second.transactions.length], [1, 0])
@@ -124,32 +124,32 @@
 
   it('says unavailable only when no endpoint could be connected', async () => {
     const closed = await findClosedAddress()
-    const refused = await openStore(closed).transact({ conditions: [], writes: [put] }, createFar())
+    const refused = await openStore(closed).transact({ conditions: [], writes: [put] }, createTestDeadline())
     assert.ok(refused.err)
     assert.equal(refused.val.code, ErrorCode.Unavailable)
-    const fake = await openFake()
-    const written = await openStore(closed, fake.address).transact({ conditions: [], writes: [put] }, createFar())
+    const fake = await openFakeEtcd()
+    const written = await openStore(closed, fake.address).transact({ conditions: [], writes: [put] }, createTestDeadline())
     assert.deepEqual(written.val, { isApplied: true, revision: 42 })
   })
 
   it('reports the server’s own refusals as without effect', async () => {
-    const fake = await openFake()
+    const fake = await openFakeEtcd()
     const store = openStore(fake.address)
     const expected = [[status.RESOURCE_EXHAUSTED, ErrorCode.Exhausted], [status.NOT_FOUND, ErrorCode.NotFound], [status.INTERNAL, ErrorCode.EffectUnknown]] as const
     for (const [code, expectedCode] of expected) {
       fake.onTransaction = (_call, callback) => { callback({ code, details: 'refused' }) }
-      const written = await store.transact({ conditions: [], writes: [put] }, createFar())
+      const written = await store.transact({ conditions: [], writes: [put] }, createTestDeadline())
       assert.ok(written.err)
       assert.equal(written.val.code, expectedCode)
     }
   })
 
   it('counts a lease from before its request, and finds a lapsed one', async () => {
-    const fake = await openFake()
+    const fake = await openFakeEtcd()
     const store = openStore(fake.address)
     const before = clock.now()
-    const granted = await store.openLease(10, createFar())
-    const renewed = await store.renewLease('9', createFar())
+    const granted = await store.openLease(10, createTestDeadline())
+    const renewed = await store.renewLease('9', createTestDeadline())
     const after = clock.now()
     for (const lease of [granted, renewed]) {
       assert.ok(lease.ok)
@@ -157,18 +157,18 @@
       assert.ok(lease.val.deadline >= before + 10_000 && lease.val.deadline <= after + 10_000)
     }
     fake.leaseSeconds = 0n
-    const lapsed = await store.renewLease('9', createFar())
+    const lapsed = await store.renewLease('9', createTestDeadline())
     assert.ok(lapsed.err)
     assert.equal(lapsed.val.code, ErrorCode.NotFound)
-    assert.ok((await store.closeLease('9', createFar())).ok)
+    assert.ok((await store.closeLease('9', createTestDeadline())).ok)
   })
 })
 
 describe('EtcdStore, reads and watches', () => {
   it('reads by prefix from the next endpoint when the first is gone', async () => {
-    const fake = await openFake()
+    const fake = await openFakeEtcd()
     const store = openStore(await findClosedAddress(), fake.address)
-    const listed = await store.list('a/', createFar())
+    const listed = await store.list('a/', createTestDeadline())
     assert.ok(listed.ok)
     assert.equal(listed.val.revision, 42)
     assert.deepEqual(listed.val.values.map(({ key, modRevision }) => [key, modRevision]), [['a/1', 7]])
@@ -189,7 +189,7 @@
   it('delivers changes in order and ends once as cut when the stream breaks', async () => {
     // A node watches the configuration; the store's member is stopped. Without an
     // end the node would wait for ever and serve an old configuration.
-    const fake = await openFake()
+    const fake = await openFakeEtcd()
     const watch = openStore(fake.address).watch('a/', 43)
     const changes: StoreChange[] = []
     const hasEnded = new Promise<WatchEnd>((resolve) => { watch.onDidEnd(resolve) })
@@ -203,7 +203,7 @@
   })
 
   it('ends as compacted when the store has discarded the revisions', async () => {
-    const fake = await openFake()
+    const fake = await openFakeEtcd()
     const watch = openStore(fake.address).watch('a/', 1)
     const hasEnded = new Promise<WatchEnd>((resolve) => { watch.onDidEnd(resolve) })
     watch.onDidChange(() => { fake.watches[0]?.write(createWatchResponse({ canceled: true, compactRevision: 40n })) })
--- a/packages/adapters/test/node/upstream/hostileHeaders.test.ts
+++ b/packages/adapters/test/node/upstream/hostileHeaders.test.ts
@@ -8,10 +8,10 @@
 import { UndiciTransport } from '../../../src/node/upstream/upstreamTransport.js'
 
 const SEED = 11
-const ANSWER_WITHIN_MS = 5000
+const REQUEST_TIMEOUT_MS = 5000
 const clock = new SystemClock()
 const transport = new UndiciTransport({ clock })
-let fields = Buffer.alloc(0)
+let headerBytes = Buffer.alloc(0)
 let address = ''
 
 /** A worker that writes `fields` as they are into its answer. */
@@ -19,7 +19,7 @@
   socket.on('error', () => {})
   socket.on('data', () => {
     const end = '\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok'
-    socket.end(Buffer.concat([Buffer.from('HTTP/1.1 200 OK\r\n'), fields, Buffer.from(end)]))
+    socket.end(Buffer.concat([Buffer.from('HTTP/1.1 200 OK\r\n'), headerBytes, Buffer.from(end)]))
   })
 })
 
@@ -35,8 +35,8 @@
 })
 
 async function fetchHeaders (bytes: Uint8Array): Promise<Record<string, string | string[]> | undefined> {
-  fields = Buffer.from(bytes)
-  const deadline = createDeadline(clock.now(), ANSWER_WITHIN_MS)
+  headerBytes = Buffer.from(bytes)
+  const deadline = createDeadline(clock.now(), REQUEST_TIMEOUT_MS)
   const sent = await transport.send({ workerId: 'w', address, method: 'GET', path: '/', headers: {}, body: null, deadline, signal: new AbortController().signal })
   if (!sent.ok) return undefined
   await sent.val.body.resume().toArray()
--- a/packages/adapters/test/node/upstream/upstreamTransport.test.ts
+++ b/packages/adapters/test/node/upstream/upstreamTransport.test.ts
@@ -13,7 +13,7 @@
 import type { AttemptRequest } from '../../../src/node/upstream/upstreamTransport.js'
 import { AttemptError, ProbeScope, UndiciTransport } from '../../../src/node/upstream/upstreamTransport.js'
 
-const GENEROUS_SPAN_MS = 60_000
+const TEST_TIMEOUT_MS = 60_000
 const clock = new SystemClock()
 const cleanUps: Array<() => Promise<unknown> | void> = []
 
@@ -36,11 +36,11 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`
 }
 
-function openRaw (onRequest: (socket: Socket) => void): Promise<string> {
+function openRawServer (onRequest: (socket: Socket) => void): Promise<string> {
   return openServer(createServer((socket) => { socket.once('data', () => { onRequest(socket) }) }))
 }
 
-function openHttp (listener: RequestListener): Promise<string> {
+function openHttpServer (listener: RequestListener): Promise<string> {
   return openServer(createHttpServer(listener))
 }
 
@@ -59,7 +59,7 @@
     path: '/work',
     headers: {},
     body: Buffer.from('payload'),
-    deadline: createDeadline(clock.now(), GENEROUS_SPAN_MS),
+    deadline: createDeadline(clock.now(), TEST_TIMEOUT_MS),
     signal: new AbortController().signal,
     ...changes
   }
@@ -90,7 +90,7 @@
   it('says possibly sent when the worker resets after the request came', async () => {
     // A caller pays; the worker reads the request and dies before it answers.
     // The payment may have run, so nobody may say that it did not.
-    const address = await openRaw((socket) => { socket.resetAndDestroy() })
+    const address = await openRawServer((socket) => { socket.resetAndDestroy() })
     const sent = await createTransport(address).send(createRequest(address))
     assert.ok(sent.err)
     assert.deepEqual([sent.val.code, sent.val.mayHaveSent, sent.val.hasHeaders], [ErrorCode.EffectUnknown, true, false])
@@ -99,7 +99,7 @@
   it('refuses at once, unsent, what finds no free connection, and serves it after a limit has grown', async () => {
     const held: Array<() => void> = []
     const arrivals: Array<() => void> = []
-    const address = await openHttp((_request, response) => {
+    const address = await openHttpServer((_request, response) => {
       held.push(() => { response.end('done') })
       arrivals.shift()?.()
     })
@@ -131,7 +131,7 @@
     // A caller reads a consent letter; the worker dies in the middle of its answer.
     // The connection closes without an error of its own; ending the stream cleanly
     // would hand half a letter on as a whole one.
-    const address = await openRaw((socket) => { socket.end('HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf') })
+    const address = await openRawServer((socket) => { socket.end('HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf') })
     const failure = await expectBodyError(createTransport(address), address)
     assert.deepEqual([failure.code, failure.hasHeaders], [ErrorCode.EffectUnknown, true])
   })
@@ -139,7 +139,7 @@
   it('fails the chunked body without its last chunk, and the one with broken chunking', async () => {
     const head = 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n'
     for (const rest of ['', 'zz\r\n']) {
-      const address = await openRaw((socket) => { socket.end(head + rest) })
+      const address = await openRawServer((socket) => { socket.end(head + rest) })
       const failure = await expectBodyError(createTransport(address), address)
       assert.equal(failure.hasHeaders, true)
     }
@@ -154,7 +154,7 @@
       const hasArrived = new Promise<void>((resolve) => { onArrival = resolve })
       let onClose = (): void => {}
       const hasClosed = new Promise<void>((resolve) => { onClose = resolve })
-      const address = await openHttp((_request, response) => {
+      const address = await openHttpServer((_request, response) => {
         response.on('close', onClose)
         if (hasHeaders) response.write('part')
         onArrival()
@@ -186,7 +186,7 @@
     }
     let onClose = (): void => {}
     const hasClosed = new Promise<void>((resolve) => { onClose = resolve })
-    const address = await openHttp((_request, response) => {
+    const address = await openHttpServer((_request, response) => {
       response.on('close', onClose)
       fireDeadline()
     })
@@ -204,7 +204,7 @@
 describe('UndiciTransport, whole answers', () => {
   it('keeps repeated headers, drops hop-by-hop ones and passes HEAD, 103, 204 and 304', async () => {
     const statuses: Readonly<Record<string, number>> = { '/204': 204, '/304': 304 }
-    const address = await openHttp((request, response) => {
+    const address = await openHttpServer((request, response) => {
       response.writeEarlyHints({ link: '</style.css>; rel=preload' })
       response.setHeader('set-cookie', ['a=1', 'b=2'])
       response.setHeader('x-hop', String(request.headers['x-hop']))
@@ -230,12 +230,12 @@
       '/health': [503, '{"state":"draining"}'],
       '/load': [200, '{"utilization":0.5,"inFlight":2}']
     }
-    const address = await openHttp((request, response) => {
+    const address = await openHttpServer((request, response) => {
       const [status, body] = answers[request.url ?? ''] ?? [404, '']
       response.writeHead(status).end(body)
     })
     const transport = createTransport(address)
-    const deadline = createDeadline(clock.now(), GENEROUS_SPAN_MS)
+    const deadline = createDeadline(clock.now(), TEST_TIMEOUT_MS)
     const probe = await transport.probe(address, deadline, ProbeScope.HealthAndLoad)
     assert.deepEqual(probe.val, { isHealthy: false, isDraining: true, isStarting: false, load: { utilization: 0.5, inFlight: 2 } })
     const health = await transport.probe(address, deadline, ProbeScope.Health)
