--- a/packages/adapters/src/node/grpc/grpcCalls.ts
+++ b/packages/adapters/src/node/grpc/grpcCalls.ts
@@ -1,6 +1,6 @@
 /**
- * What the gRPC adapters share: channels without hidden repeats, a check that a
- * channel is connected before a call is made, and what a failed call means.
+ * Helpers shared by the gRPC adapters: channels without transparent retries, a check
+ * that a channel is connected before a call, and the mapping of gRPC statuses to errors.
  */
 import { connectivityState, Channel, credentials, status } from '@grpc/grpc-js'
 import type { CallOptions, ChannelCredentials, ChannelOptions, ClientUnaryCall, Metadata, ServiceError } from '@grpc/grpc-js'
@@ -12,18 +12,19 @@
 import type { Result } from '@umberspar/base/common/result'
 import { Err, Ok } from '@umberspar/base/common/result'
 
-/** A list of keys or a document comes in one message or a few; more than this is a fault. */
+/** Key lists and documents arrive in one or a few messages; a larger message is rejected as faulty. */
 const MAX_RECEIVED_MESSAGE_BYTES = 67_108_864
 
 const CHANNEL_OPTIONS: ChannelOptions = {
-  // A write must not be sent twice behind the back of its owner.
+  // gRPC must not retry a write on its own: the caller decides whether to send it again.
   'grpc.enable_retries': 0,
   'grpc.service_config_disable_resolution': 1,
   'grpc.enable_http_proxy': 0,
   'grpc.use_local_subchannel_pool': 1,
   'grpc.max_receive_message_length': MAX_RECEIVED_MESSAGE_BYTES,
-  // A partition that drops packets sends no reset: an open watch would hear nothing
-  // and never end. Pings find it within 13 s; servers refuse more than one in 5 s.
+  // A partition that drops packets sends no reset, so an open watch would stay open
+  // without receiving anything. Keepalive pings detect this within 13 s. Servers
+  // reject pings that are less than 5 s apart.
   'grpc.keepalive_time_ms': 10_000,
   'grpc.keepalive_timeout_ms': 3_000,
   'grpc.keepalive_permit_without_calls': 0,
@@ -31,22 +32,22 @@
   'grpc.max_reconnect_backoff_ms': 1_000
 }
 
-/** Whether a call without an answer may have changed something. */
+/** Whether a call that got no response may have changed something. */
 export enum CallEffect {
-  /** Reads only: without an answer nothing has happened. */
+  /** Read only: without a response, nothing has changed. */
   None = 'none',
-  /** Writes: without an answer it may have happened. */
+  /** Writes: without a response, the write may still have been applied. */
   Write = 'write'
 }
 
-/** Where a call is made, for its errors. */
+/** Identifies a call in its errors. */
 export interface CallContext {
   readonly step: string
   readonly peer: string
   readonly effect: CallEffect
 }
 
-/** The statuses by which a server says that it did not run a call. */
+/** The statuses with which a server reports that it did not execute a call. */
 const CODE_BY_STATUS: Readonly<Partial<Record<status, ErrorCode>>> = {
   [status.INVALID_ARGUMENT]: ErrorCode.Invalid,
   [status.NOT_FOUND]: ErrorCode.NotFound,
@@ -64,7 +65,7 @@
   [CallEffect.Write]: ErrorCode.EffectUnknown
 }
 
-/** The statuses after which another endpoint may do better. */
+/** The statuses after which the call may succeed at another endpoint. */
 const ENDPOINT_FAILURE_STATUSES: ReadonlySet<status> = new Set([status.UNAVAILABLE, status.DEADLINE_EXCEEDED, status.CANCELLED, status.UNKNOWN, status.INTERNAL])
 
 /** How one channel is secured. */
@@ -73,36 +74,36 @@
   readonly options: ChannelOptions
 }
 
-/** Gives the security of the channel to an address. */
+/** Returns the security settings of the channel to an address. */
 export type ChannelSecurityFactory = (address: string) => ChannelSecurity
 
-/** Plain text. */
+/** Channels without TLS. */
 export const INSECURE_CHANNELS: ChannelSecurityFactory = () => ({ credentials: credentials.createInsecure(), options: {} })
 
 /**
  * @param address `host:port`
- * @param security of the connection
- * @returns a channel whose owner closes it
+ * @param security how the connection is secured
+ * @returns a channel; the caller must close it
  */
 export function createChannel (address: string, security: ChannelSecurity): Channel {
   return new Channel(address, security.credentials, { ...CHANNEL_OPTIONS, ...security.options })
 }
 
 /**
- * @param clock of the deadline
- * @param deadline by when the call must have ended
- * @returns the options that carry it to the server
+ * @param clock the clock that `deadline` refers to
+ * @param deadline when the call must have ended
+ * @returns call options that pass the deadline on to the server
  */
 export function createCallOptions (clock: IClock, deadline: Deadline): Partial<CallOptions> {
   return { deadline: clock.getWallTime() + getRemainingMs(deadline, clock.now()) }
 }
 
 /**
- * Waits for a connection, so that a call that fails before is known to be unsent.
- * @param channel the channel, which starts to connect
- * @param clock of the deadline
- * @param deadline how long to wait at most
- * @returns whether it is connected; false at once after a failed attempt
+ * Waits until a channel is connected. If it returns false, the call is known not to have been sent.
+ * @param channel the channel, which starts to connect if it is idle
+ * @param clock the clock that `deadline` refers to
+ * @param deadline when to stop waiting
+ * @returns whether the channel is connected; false immediately after a failed connection attempt
  */
 export async function waitForChannel (channel: Channel, clock: IClock, deadline: Deadline): Promise<boolean> {
   let state = channel.getConnectivityState(true)
@@ -120,7 +121,7 @@
   })
 }
 
-/** A unary method of a generated client, bound to it. */
+/** A unary method of a generated client, bound to that client. */
 export type UnaryMethod<TRequest, TResponse> = (
   request: TRequest,
   metadata: Metadata,
@@ -130,9 +131,9 @@
 
 /**
  * @param method the bound method
- * @param request what to send
- * @param options with the deadline
- * @returns the answer, or the status as gRPC reports it
+ * @param request the request message
+ * @param options call options, with the deadline
+ * @returns the response, or the gRPC status of the failed call
  */
 export function callUnary<TRequest, TResponse> (method: UnaryMethod<TRequest, TResponse>, request: TRequest, options: Partial<CallOptions>): Promise<Result<TResponse, ServiceError>> {
   return new Promise((resolve) => {
@@ -143,23 +144,23 @@
 }
 
 /**
- * @param error a failed call's status
- * @returns whether the endpoint, not the call, is at fault
+ * @param error the status of a failed call
+ * @returns whether the endpoint failed, rather than the call itself being invalid
  */
 export function isEndpointFailure (error: ServiceError): boolean {
   return ENDPOINT_FAILURE_STATUSES.has(error.code)
 }
 
 /**
- * Says what a failed call means. The call may have been sent.
- * @param error gRPC's status
- * @param context where the call was made
- * @returns `EffectUnknown` for a write unless the server itself refused it
+ * Converts the status of a failed call, which may have been sent, to an error.
+ * @param error the gRPC status
+ * @param context identifies the call
+ * @returns the error; `EffectUnknown` for a write unless the server itself refused it
  */
 export function toCallError (error: ServiceError, context: CallContext): StepError {
   const codeWithoutResponse = CODE_WITHOUT_RESPONSE[context.effect]
-  // A stream that was reset gets a status made up on this side, RESOURCE_EXHAUSTED
-  // among them; that is not the server's word that it did nothing.
+  // When a stream is reset, the client library makes up the status, which may be
+  // RESOURCE_EXHAUSTED. It does not mean that the server did not execute the call.
   const code = isStreamReset(error) ? codeWithoutResponse : CODE_BY_STATUS[error.code] ?? codeWithoutResponse
   return new StepError({ code, step: context.step, peer: context.peer, message: error.message, cause: error })
 }
@@ -170,12 +171,12 @@
 }
 
 /**
- * @param context where the call would have been made
- * @param isDeadlinePassed whether its deadline has passed
- * @returns the error of a call that was not made
+ * @param context identifies the call
+ * @param isDeadlinePassed whether the call was not sent because its deadline had passed
+ * @returns the error of a call that was not sent
  */
 export function createUnsentError (context: CallContext, isDeadlinePassed: boolean): StepError {
   const code = isDeadlinePassed ? ErrorCode.DeadlinePassed : ErrorCode.Unavailable
-  const message = isDeadlinePassed ? 'the deadline passed before the call' : 'no connection'
+  const message = isDeadlinePassed ? 'the deadline passed before the call was sent' : 'the endpoint is not connected'
   return new StepError({ code, step: context.step, peer: context.peer, message })
 }
--- a/packages/adapters/src/node/metrics/statsdMetrics.ts
+++ b/packages/adapters/src/node/metrics/statsdMetrics.ts
@@ -1,24 +1,24 @@
-/** Metrics by StatsD over UDP. */
+/** Sends metrics to StatsD over UDP. */
 import { StatsD } from 'hot-shots'
 import type { ILogger } from '@umberspar/base/common/logger'
 import { LogLevel, NULL_LOGGER } from '@umberspar/base/common/logger'
 import type { IMetrics, MetricTags } from '@umberspar/base/common/metrics'
 
 const METRIC_PREFIX = 'umberspar.'
-/** Fits one Ethernet frame with its headers. */
+/** Small enough that a packet with its headers fits into one Ethernet frame. */
 const MAX_PACKET_BYTES = 1400
 const FLUSH_INTERVAL_MS = 1000
 
-/** Where measurements go. */
+/** Options of {@link StatsdMetrics}. */
 export interface StatsdMetricsOptions {
   readonly host: string
   readonly port: number
-  /** On every measurement, for example the node's id. */
+  /** Added to every measurement, for example the node id. */
   readonly tags?: MetricTags
   readonly logger?: ILogger
 }
 
-/** An IMetrics over hot-shots; a failure to send is logged once and never thrown. */
+/** Implements {@link IMetrics} with hot-shots. The first failure to send is logged; failures are never thrown. */
 export class StatsdMetrics implements IMetrics {
   private readonly client: StatsD
   private readonly logger: ILogger
@@ -53,7 +53,7 @@
     this.record(() => this.client.timing(name, durationMs, { ...tags }))
   }
 
-  /** Sends what is buffered, then closes the socket. */
+  /** Sends the buffered measurements, then closes the socket. */
   close (): Promise<void> {
     this.closing ??= new Promise((resolve) => {
       this.client.close((error) => {
--- a/packages/adapters/src/node/peers/documentChunks.ts
+++ b/packages/adapters/src/node/peers/documentChunks.ts
@@ -1,20 +1,20 @@
-/** Documents on the wire: cut into chunks, and put together again under a bound. */
+/** Splits documents into chunks for the wire and reassembles them, up to a size limit. */
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { PushScope, type PushRoute } from '@umberspar/steering/common/spread/pushTree'
 import type { PeerDocument } from '@umberspar/steering/common/ports/peers'
 import type { DocumentChunk, DocumentVersion } from '../generated/peer/peer.js'
 import { decodeVersion, encodeVersion } from './peerMessages.js'
 
-/** Small enough to let other calls on the connection through between two chunks. */
+/** Small enough that other calls on the same connection can be sent between two chunks. */
 export const CHUNK_BYTES = 65_536
-/** A larger document is refused; a faulty peer must not fill the memory. */
+/** Larger documents are rejected, so that a faulty peer can't exhaust the memory. */
 export const MAX_DOCUMENT_BYTES = 16_777_216
 
 const ASSEMBLE_STEP = 'assemble-document'
 
 /**
  * @param source the document
- * @returns its chunks in order, at least one; made one at a time
+ * @returns its chunks in order, at least one, generated lazily
  */
 export function * splitDocument (source: PeerDocument): Generator<DocumentChunk> {
   const document = encodeVersion(source.document)
@@ -35,7 +35,7 @@
   return { originId: chunk.originId, scope: chunk.isRegional ? PushScope.Region : PushScope.Global }
 }
 
-/** Puts the chunks of one document together. */
+/** Reassembles one document from its chunks. */
 export class DocumentAssembler {
   private readonly chunks: Buffer[] = []
   private sizeBytes = 0
@@ -47,7 +47,7 @@
 
   /**
    * @param chunk the next chunk
-   * @throws StepError `Invalid` out of order or of another document, `Exhausted` beyond the bound
+   * @throws StepError `Invalid` if the chunk is out of order or belongs to another document; `Exhausted` if the document exceeds {@link MAX_DOCUMENT_BYTES}
    */
   add (chunk: DocumentChunk): void {
     this.document ??= chunk.document
@@ -60,12 +60,12 @@
   }
 
   /**
-   * @returns the document; undefined if no chunk came
+   * @returns the document; undefined if no chunk was added
    * @throws StepError `Invalid` if the last chunk is missing
    */
   build (): PeerDocument | undefined {
     if (this.document === undefined) return undefined
-    if (!this.isComplete) throw this.createError(ErrorCode.Invalid, 'the last chunk is missing')
+    if (!this.isComplete) throw this.createError(ErrorCode.Invalid, 'the last chunk of the document is missing')
     const assembled = { document: decodeVersion(this.document), body: Buffer.concat(this.chunks) }
     return this.route === undefined ? assembled : { ...assembled, route: this.route }
   }
--- a/packages/adapters/src/node/peers/peerClient.ts
+++ b/packages/adapters/src/node/peers/peerClient.ts
@@ -1,4 +1,4 @@
-/** Calls to peers: one channel per peer, kept until closed. */
+/** Calls peers over gRPC, with one channel per peer that stays open until it is closed. */
 import { Readable } from 'node:stream'
 import type { Writable } from 'node:stream'
 import { pipeline } from 'node:stream/promises'
@@ -18,7 +18,7 @@
 import { DocumentAssembler, MAX_DOCUMENT_BYTES, splitDocument } from './documentChunks.js'
 import { decodeDigest, decodeLoanAnswer, encodeDigest, encodeLoanRequest } from './peerMessages.js'
 
-/** The calls to peers, as named in errors. */
+/** The kinds of calls, as they appear in errors. */
 enum PeerCall {
   Exchange = 'peer-exchange',
   Fetch = 'peer-fetch',
@@ -35,10 +35,10 @@
   [PeerCall.ReturnLoan]: CallEffect.Write
 }
 
-/** What a PeerClient needs. */
+/** Options of {@link PeerClient}. */
 export interface PeerClientOptions {
   readonly clock: IClock
-  /** For mutual TLS; plain text if left out. */
+  /** For mutual TLS; without it, connections are plain text. */
   readonly security?: ChannelSecurityFactory | undefined
 }
 
@@ -49,7 +49,7 @@
 
 type PeerInvocation<TResponse> = (client: WireClient, options: Partial<CallOptions>, sentAt: Instant) => Promise<Result<TResponse, ServiceError | StepError>>
 
-/** An IPeerClient over gRPC. */
+/** Implements {@link IPeerClient} over gRPC. */
 export class PeerClient implements IPeerClient {
   private readonly connections = new Map<string, PeerConnection>()
   private readonly clock: IClock
@@ -64,8 +64,8 @@
   exchange (address: string, digest: Digest, deadline: Deadline): Promise<Result<Digest, StepError>> {
     return this.callPeer(PeerCall.Exchange, address, deadline, async (client, options, sentAt) => {
       const response = await callUnary(client.exchange.bind(client), encodeDigest(digest, sentAt), options)
-      // Ages in the answer count from when it was sent; taking the instant of our
-      // own request makes a measurement look older, never newer.
+      // The ages in the response count from the moment the peer sent it. Counting them
+      // from our request instead can only make a measurement look older, never newer.
       return response.map((received) => decodeDigest(received, sentAt, address))
     })
   }
@@ -73,8 +73,8 @@
   fetch (address: string, name: string, aboveVersion: number, deadline: Deadline): Promise<Result<PeerDocument | undefined, StepError>> {
     return this.callPeer(PeerCall.Fetch, address, deadline, async (client, options) => {
       const stream = client.fetch({ name, aboveVersion: BigInt(aboveVersion) }, options)
-      // The loop below sees the errors; one that comes after it has left (a refused
-      // chunk cancels the call) would end the process without a listener.
+      // The loop below handles errors. An error emitted after the loop has ended (a
+      // rejected chunk cancels the call) would crash the process without this listener.
       stream.on('error', () => {})
       const assembler = new DocumentAssembler(address)
       try {
@@ -119,7 +119,7 @@
 
   private async callPeer<TResponse> (call: PeerCall, address: string, deadline: Deadline, invoke: PeerInvocation<TResponse>): Promise<Result<TResponse, StepError>> {
     const context = { step: call, peer: address, effect: EFFECT_BY_CALL[call] }
-    if (this.isClosed) return Err(new StepError({ code: ErrorCode.Cancelled, step: call, peer: address, message: 'the peer client is closed' }))
+    if (this.isClosed) return Err(new StepError({ code: ErrorCode.Cancelled, step: call, peer: address, message: 'the peer client has been closed' }))
     const { channel, client } = this.openConnection(address)
     const isConnected = await waitForChannel(channel, this.clock, deadline)
     const sentAt = this.clock.now()
@@ -154,8 +154,8 @@
     const stream = client.push(new Metadata(), options, (error: ServiceError | null, response: PushAnswer) => {
       resolve(error === null ? Ok(Number(response.version)) : Err(error))
     })
-    // The callback reports every failure of the call; a refusal in the middle of
-    // the document also breaks the pipe, which says nothing more.
+    // The callback reports every failure of the call. If the peer rejects the document
+    // midway, the pipeline fails too; that error adds nothing and is dropped.
     pipeline(Readable.from(splitDocument(document)), stream as unknown as Writable).catch(() => { stream.cancel() })
   })
 }
--- a/packages/adapters/src/node/peers/peerMessages.ts
+++ b/packages/adapters/src/node/peers/peerMessages.ts
@@ -1,4 +1,4 @@
-/** Between the port's types and the peers' wire messages; ages and spans become instants here. */
+/** Converts between the types of the peer port and the wire messages. Instants are sent as ages, deadlines as remaining time. */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, getRemainingMs } from '@umberspar/base/common/deadline'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
@@ -24,22 +24,22 @@
   [WireState.NODE_STATE_LEAVING, NodeState.Leaving]
 ])
 
-/** Ages round up: a measurement must not look newer than it is. */
+/** Rounds up, so that a measurement never looks newer than it is. */
 function encodeAgeMs (measuredAt: Instant, now: Instant): number {
   return Math.min(MAX_UINT32, Math.ceil(getRemainingMs(now, measuredAt)))
 }
 
-/** Spans round down: a deadline must not move away on the wire. */
+/** Rounds down, so that a deadline never becomes later on the wire. */
 function encodeRemainingMs (deadline: Instant, now: Instant): number {
   return Math.min(MAX_UINT32, Math.floor(getRemainingMs(deadline, now)))
 }
 
-/** @returns a document's version for the wire */
+/** @returns the wire form of a document's version */
 export function encodeVersion (document: DocumentVersion): wire.DocumentVersion {
   return { ...document, version: BigInt(document.version) }
 }
 
-/** @returns a document's version from the wire */
+/** @returns a document's version, decoded from its wire form */
 export function decodeVersion (document: wire.DocumentVersion): DocumentVersion {
   return { ...document, version: Number(document.version) }
 }
@@ -54,7 +54,7 @@
   return { ...rest, measuredAt: now - ageMs }
 }
 
-/** Zero on the wire says that there is no instant; a known age is sent one larger. */
+/** On the wire, 0 stands for a missing instant, so a known age is sent increased by 1. */
 function encodeOptionalAgeMs (instant: Instant | undefined, now: Instant): number {
   return instant === undefined ? 0 : Math.min(MAX_UINT32, encodeAgeMs(instant, now) + 1)
 }
@@ -92,9 +92,9 @@
 }
 
 /**
- * @param digest the own digest
- * @param now the present, to which ages refer
- * @returns the digest for the wire
+ * @param digest this node's digest
+ * @param now the current instant, which ages count back from
+ * @returns the digest's wire form
  */
 export function encodeDigest (digest: Digest, now: Instant): wire.Digest {
   const { confirmedAt, ...rest } = digest
@@ -112,22 +112,23 @@
 }
 
 /**
- * NaN passes through every comparison and sum: one such report would upset the
- * choice among all workers of a place, and relayed on, at all nodes.
+ * Rejects NaN, infinite and negative values. Every comparison with NaN is false and
+ * every sum with it is NaN. A single such report would disturb the choice among all
+ * workers of an upstream in a failure domain and, relayed by gossip, would do so on all nodes.
  */
 function checkMeasurements (digest: wire.Digest, peer: string): void {
   const demand = [...digest.demand, ...digest.members.flatMap((report) => report.demand)]
   const values = [...digest.workers.map((report) => report.utilization), ...demand.map((report) => report.concurrency)]
   if (values.every((figure) => Number.isFinite(figure) && figure >= 0)) return
-  throw new StepError({ code: ErrorCode.Invalid, step: 'decode-digest', peer, message: 'a reported figure is negative or no number' })
+  throw new StepError({ code: ErrorCode.Invalid, step: 'decode-digest', peer, message: 'a reported value is negative or not a finite number' })
 }
 
 /**
  * @param digest a peer's digest
- * @param now the instant of its receipt
- * @param peer whose it is, for the error
- * @returns the digest on the own clock
- * @throws StepError `Invalid` if its state is unknown or a figure is no number of 0 or more
+ * @param now when it was received
+ * @param peer the peer's address, for errors
+ * @returns the digest, with its instants on the local clock
+ * @throws StepError `Invalid` if a state is unknown, or a value is negative or not a finite number
  */
 export function decodeDigest (digest: wire.Digest, now: Instant, peer: string): Digest {
   checkMeasurements(digest, peer)
@@ -145,25 +146,25 @@
   }
 }
 
-/** @returns a loan's request for the wire; its span counts from `now` */
+/** @returns the wire form of a loan request; its duration counts from `now` */
 export function encodeLoanRequest (request: LoanRequest, now: Instant): wire.LoanRequest {
   const { deadline, ...rest } = request
   return { ...rest, spanMs: encodeRemainingMs(deadline, now) }
 }
 
-/** @returns a loan's request on the lender's clock, received at `now` */
+/** @returns a loan request received at `now`, with its deadline on the lender's clock */
 export function decodeLoanRequest (request: wire.LoanRequest, now: Instant): LoanRequest {
   const { spanMs, ...rest } = request
   return { ...rest, deadline: createDeadline(now, spanMs) }
 }
 
-/** @returns a loan's answer for the wire; its span counts from the receipt of the request */
+/** @returns the wire form of the response to a loan request; its duration counts from the receipt of the request */
 export function encodeLoanAnswer (answer: LoanAnswer, receivedAt: Instant): wire.LoanAnswer {
   const { deadline, ...rest } = answer
   return { ...rest, spanMs: encodeRemainingMs(deadline, receivedAt) }
 }
 
-/** @returns a loan's answer on the borrower's clock, for a request sent at `sentAt` */
+/** @returns the response to a loan request sent at `sentAt`, with its deadline on the borrower's clock */
 export function decodeLoanAnswer (answer: wire.LoanAnswer, sentAt: Instant): LoanAnswer {
   const { spanMs, ...rest } = answer
   return { ...rest, deadline: createDeadline(sentAt, spanMs) }
--- a/packages/adapters/src/node/peers/peerServer.ts
+++ b/packages/adapters/src/node/peers/peerServer.ts
@@ -1,4 +1,4 @@
-/** The peers' listener of a daemon: the Peer service over gRPC. */
+/** Serves the Peer service of a daemon over gRPC. */
 import { Readable } from 'node:stream'
 import type { Writable } from 'node:stream'
 import { Metadata, Server, ServerCredentials, status } from '@grpc/grpc-js'
@@ -18,8 +18,8 @@
 import { decodeDigest, decodeLoanRequest, encodeDigest, encodeLoanAnswer } from './peerMessages.js'
 
 const LISTEN_STEP = 'listen-for-peers'
-const ANSWER_STEP = 'answer-peer'
-/** How long calls may go on after `close`; then they are cut. */
+const HANDLE_CALL_STEP = 'answer-peer'
+/** How long running calls may continue after `close` before they are aborted. */
 const SHUTDOWN_GRACE_MS = 1000
 
 const STATUS_BY_CODE: Readonly<Record<ErrorCode, status>> = {
@@ -35,18 +35,18 @@
   [ErrorCode.Internal]: status.INTERNAL
 }
 
-/** What a PeerServer needs. */
+/** Options of {@link PeerServer}. */
 export interface PeerServerOptions {
-  /** `host:port`; port 0 takes a free one. */
+  /** `host:port`; port 0 selects a free port. */
   readonly address: string
   readonly service: IPeerService
   readonly clock: IClock
   readonly logger: ILogger
-  /** For mutual TLS; plain text if left out. */
+  /** For mutual TLS; without it, connections are plain text. */
   readonly credentials?: ServerCredentials | undefined
 }
 
-/** Answers peers by an IPeerService. */
+/** Handles the calls of peers with an {@link IPeerService}. */
 export class PeerServer implements IClosable {
   private readonly server = new Server()
   private readonly service: IPeerService
@@ -59,7 +59,7 @@
     this.server.addService(PeerService, this.buildHandlers())
   }
 
-  /** @returns the bound port, once peers can connect */
+  /** @returns the port, once peers can connect; an error if the address can't be bound */
   listen (): Promise<Result<number, StepError>> {
     const { address, credentials } = this.options
     return new Promise((resolve) => {
@@ -70,7 +70,7 @@
     })
   }
 
-  /** Lets running calls finish for a second, then cuts them. */
+  /** Stops accepting calls and waits for running ones; those that still run after one second are aborted. */
   close (): Promise<void> {
     this.closing ??= new Promise((resolve) => {
       const timer = this.clock.schedule(createDeadline(this.clock.now(), SHUTDOWN_GRACE_MS), () => { this.server.forceShutdown() })
@@ -116,7 +116,7 @@
     try {
       const document = this.service.fetch(name, Number(aboveVersion))
       const chunks = Readable.from(document === undefined ? [] : splitDocument(document))
-      // A peer that leaves in the middle must not leave the rest of the document waiting.
+      // If the peer cancels midway, the remaining chunks must not stay in memory.
       call.on('cancelled', () => { chunks.destroy() })
       chunks.pipe(call as unknown as Writable)
     } catch (thrown) {
@@ -130,7 +130,7 @@
       const assembler = new DocumentAssembler(peer)
       for await (const chunk of call) assembler.add(chunk as wire.DocumentChunk)
       const document = assembler.build()
-      if (document === undefined) throw new StepError({ code: ErrorCode.Invalid, step: ANSWER_STEP, peer, message: 'no chunk came' })
+      if (document === undefined) throw new StepError({ code: ErrorCode.Invalid, step: HANDLE_CALL_STEP, peer, message: 'the document has no chunks' })
       callback(null, { version: BigInt(await this.service.push(document)) })
     } catch (thrown) {
       callback(this.toServiceError(thrown, peer))
@@ -138,7 +138,7 @@
   }
 
   private toServiceError (thrown: unknown, peer: string): ServiceError {
-    const error = toStepError(thrown, ANSWER_STEP, peer)
+    const error = toStepError(thrown, HANDLE_CALL_STEP, peer)
     logError(this.options.logger, LogLevel.Warn, error)
     return Object.assign(new Error(error.message), { code: STATUS_BY_CODE[error.code], details: error.message, metadata: new Metadata() })
   }
--- a/packages/adapters/src/node/store/etcdEndpoint.ts
+++ b/packages/adapters/src/node/store/etcdEndpoint.ts
@@ -1,10 +1,10 @@
-/** One member of the store that can be asked. */
+/** The connection to one member of the store. */
 import type { Channel } from '@grpc/grpc-js'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { createChannel, type ChannelSecurityFactory } from '../grpc/grpcCalls.js'
 import { KVClient, LeaseClient, WatchClient } from '../generated/etcd/rpc.js'
 
-/** A member and the clients that share its connection. */
+/** The channel to a member and the clients that share it. */
 export class EtcdEndpoint implements IClosable {
   readonly channel: Channel
   readonly keyValues: KVClient
--- a/packages/adapters/src/node/store/etcdMessages.ts
+++ b/packages/adapters/src/node/store/etcdMessages.ts
@@ -1,16 +1,16 @@
-/** Between the port's types and the store's wire messages. */
+/** Converts between the types of the key-value port and etcd's wire messages. */
 import type { StoreChange, StoreCondition, StoredValue, StoreTransaction, StoreWrite } from '@umberspar/steering/common/ports/keyValueStore'
 import type { Compare, Event as WireEvent, KeyValue, RangeRequest, RequestOp, TxnRequest, WatchRequest } from '../generated/etcd/rpc.js'
 import { Compare_CompareResult as CompareResult, Compare_CompareTarget as CompareTarget, Event_EventType as EventType } from '../generated/etcd/rpc.js'
 
 const MAX_BYTE_VALUE = 0xff
-/** As a range end it means "all keys from the first on". */
+/** As a range end, etcd reads it as "all keys from the start key on". */
 const UNBOUNDED_RANGE_END = Buffer.from([0])
 const SINGLE_KEY_RANGE_END = Buffer.alloc(0)
 
 /**
- * @param prefix what the keys begin with
- * @returns the least key that is greater than all keys with that prefix
+ * @param prefix the common prefix of the keys
+ * @returns the smallest key greater than all keys with that prefix; a single zero byte if there is none
  */
 export function computeRangeEnd (prefix: Uint8Array): Buffer {
   const rangeEnd = Buffer.from(prefix)
@@ -27,22 +27,22 @@
   return { key, rangeEnd, limit: 0n, revision: 0n, serializable: false, keysOnly: false, countOnly: false }
 }
 
-/** @returns a read of one key */
+/** @returns a request that reads one key */
 export function encodeGet (key: string): RangeRequest {
   return createRangeRequest(Buffer.from(key), SINGLE_KEY_RANGE_END)
 }
 
-/** An empty prefix stands for all keys, whose first possible one is a zero byte. */
+/** An empty prefix selects all keys; etcd expects a zero byte as the start key for that. */
 function encodePrefix (prefix: string): Buffer {
   return prefix === '' ? Buffer.from([0]) : Buffer.from(prefix)
 }
 
-/** @returns a read of all keys with a prefix */
+/** @returns a request that reads all keys with a prefix */
 export function encodeList (prefix: string): RangeRequest {
   return createRangeRequest(encodePrefix(prefix), computeRangeEnd(Buffer.from(prefix)))
 }
 
-/** @returns a watch of all keys with a prefix */
+/** @returns a request that watches all keys with a prefix, from `fromRevision` on */
 export function encodeWatch (prefix: string, fromRevision: number): WatchRequest {
   return {
     createRequest: {
@@ -79,7 +79,7 @@
   return encode(write)
 }
 
-/** @returns the transaction; if a condition does not hold, nothing is done */
+/** @returns the request of a transaction that writes nothing unless all its conditions hold */
 export function encodeTransaction (transaction: StoreTransaction): TxnRequest {
   return {
     compare: transaction.conditions.map(encodeCondition),
@@ -88,12 +88,12 @@
   }
 }
 
-/** @returns a value that was read */
+/** @returns the value of a key that was read */
 export function decodeValue (pair: KeyValue): StoredValue {
   return { key: pair.key.toString('utf8'), value: pair.value, modRevision: Number(pair.modRevision) }
 }
 
-/** @returns a change that was watched; undefined if the event names no key */
+/** @returns the change that a watch event reports; undefined if the event has no key */
 export function decodeChange (event: WireEvent): StoreChange | undefined {
   if (event.kv === undefined) return undefined
   const { key, value, modRevision } = decodeValue(event.kv)
--- a/packages/adapters/src/node/store/etcdStore.ts
+++ b/packages/adapters/src/node/store/etcdStore.ts
@@ -1,11 +1,11 @@
 /**
- * The platform's key-value service over etcd's published v3 API.
+ * Client of the platform's key-value service, which has etcd's v3 API.
  *
- * A write is given to one connected endpoint and never sent again from here: if
- * no endpoint could be connected it is `Unavailable`; once handed to a connection,
- * only the server's own refusal says that it had no effect, and anything else is
- * `EffectUnknown`. Reads go to each endpoint in turn, with an equal part of the
- * time left for each, so that one that is silent leaves time for the others.
+ * A write is sent once, to a connected endpoint, and never retried here. If no endpoint
+ * is connected, it fails as `Unavailable`. Once it has been sent, only a refusal by the
+ * server itself means that it had no effect; every other failure is `EffectUnknown`.
+ * Reads try one endpoint after another. The remaining time is divided equally among the
+ * endpoints not tried yet, so that one that does not respond leaves time for the others.
  */
 import type { CallOptions, ServiceError } from '@grpc/grpc-js'
 import type { IClock } from '@umberspar/base/common/clock'
@@ -33,7 +33,7 @@
 const CALLS_METRIC = 'store.calls'
 const FAILURES_METRIC = 'store.failures'
 
-/** The kinds of calls, as named in errors, logs and metrics. */
+/** The kinds of calls, as they appear in errors, logs and metrics. */
 enum StoreCall {
   Get = 'store-get',
   List = 'store-list',
@@ -44,13 +44,13 @@
   Watch = 'store-watch'
 }
 
-/** What a store adapter needs. */
+/** Options of {@link EtcdStore}. */
 export interface EtcdStoreOptions {
   /** `host:port` of each member. */
   readonly endpoints: readonly string[]
   readonly clock: IClock
   readonly logger: ILogger
-  /** Security of the connections; plain text if left out. */
+  /** How connections are secured; without it they are plain text. */
   readonly security?: ChannelSecurityFactory | undefined
   /** Counts calls as `store.calls` and failures as `store.failures`, by `kind`. */
   readonly metrics?: IMetrics
@@ -58,13 +58,13 @@
 
 type EndpointInvocation<TResponse> = (endpoint: EtcdEndpoint, options: Partial<CallOptions>) => Promise<Result<TResponse, ServiceError>>
 
-/** An answer and the instant just before its call was sent. */
+/** A response and the instant just before its request was sent. */
 interface TimedResponse<TResponse> {
   readonly response: TResponse
   readonly sentAt: number
 }
 
-/** An IKeyValueStore over gRPC. */
+/** Implements {@link IKeyValueStore} over gRPC. */
 export class EtcdStore implements IKeyValueStore {
   private readonly endpoints: EndpointRotation
   private readonly clock: IClock
@@ -97,7 +97,7 @@
     const request = encodeTransaction(transaction)
     const written = await this.callWrite(StoreCall.Transact, deadline, (endpoint, options) =>
       callUnary(endpoint.keyValues.txn.bind(endpoint.keyValues), request, options))
-    return written.map(({ response: answer }) => ({ isApplied: answer.succeeded, revision: Number(answer.header?.revision ?? 0n) }))
+    return written.map(({ response }) => ({ isApplied: response.succeeded, revision: Number(response.header?.revision ?? 0n) }))
   }
 
   async openLease (ttlSeconds: number, deadline: Deadline): Promise<Result<GrantedLease, StepError>> {
@@ -139,11 +139,11 @@
     this.endpoints.close()
   }
 
-  /** A lease with the number 0 stands for "no lease": keys bound to it would never vanish. */
+  /** Rejects lease id 0: etcd reads it as "no lease", so keys bound to it would never expire. */
   private checkLease (granted: TimedResponse<LeaseGrantResponse>): Result<GrantedLease, StepError> {
     const { ID, error } = granted.response
     if (ID !== 0n && error === '') return Ok(buildLease(granted))
-    return Err(new StepError({ code: ErrorCode.Refused, step: StoreCall.OpenLease, peer: UNSPECIFIED_ENDPOINT, message: error || 'no lease was granted' }))
+    return Err(new StepError({ code: ErrorCode.Refused, step: StoreCall.OpenLease, peer: UNSPECIFIED_ENDPOINT, message: error || 'the store granted no lease' }))
   }
 
   private callRange (call: StoreCall, request: RangeRequest, deadline: Deadline): Promise<Result<RangeResponse, StepError>> {
@@ -191,7 +191,7 @@
     return invoke(endpoint, createCallOptions(this.clock, deadline))
   }
 
-  /** Looks for an endpoint that is connected, so that a write is sent only where it can arrive. */
+  /** Finds an endpoint that is connected, so that a write is sent only where it can be received. */
   private async findConnectedEndpoint (call: StoreCall, deadline: Deadline): Promise<EtcdEndpoint | undefined> {
     const endpoints = this.endpoints.list()
     for (const [index, endpoint] of endpoints.entries()) {
@@ -216,21 +216,21 @@
 
   private reportBrokenWatch (endpoint: EtcdEndpoint): void {
     const context = { step: StoreCall.Watch, peer: endpoint.address, effect: CallEffect.None }
-    this.reportFailure(endpoint, new StepError({ code: ErrorCode.Unavailable, step: context.step, peer: context.peer, message: 'the watch was cut' }))
+    this.reportFailure(endpoint, new StepError({ code: ErrorCode.Unavailable, step: context.step, peer: context.peer, message: 'the watch stream was interrupted' }))
   }
 
   private createClosedError (call: StoreCall): StepError {
-    return new StepError({ code: ErrorCode.Cancelled, step: call, peer: UNSPECIFIED_ENDPOINT, message: 'the store adapter is closed' })
+    return new StepError({ code: ErrorCode.Cancelled, step: call, peer: UNSPECIFIED_ENDPOINT, message: 'the store adapter has been closed' })
   }
 }
 
-function buildLease ({ response: answer, sentAt }: TimedResponse<{ ID: bigint, TTL: bigint }>): GrantedLease {
-  return { leaseId: answer.ID.toString(), deadline: createDeadline(sentAt, Number(answer.TTL) * MS_PER_SECOND) }
+function buildLease ({ response, sentAt }: TimedResponse<{ ID: bigint, TTL: bigint }>): GrantedLease {
+  return { leaseId: response.ID.toString(), deadline: createDeadline(sentAt, Number(response.TTL) * MS_PER_SECOND) }
 }
 
 /**
- * @param options endpoints, clock and what else the adapter needs
- * @returns a store adapter, closed by its owner; connects on its first call
+ * @param options endpoints, clock and other options
+ * @returns a store adapter that connects on its first call; the caller must close it
  */
 export function createEtcdStore (options: EtcdStoreOptions): IKeyValueStore {
   return new EtcdStore(options)
--- a/packages/adapters/src/node/store/etcdWatch.ts
+++ b/packages/adapters/src/node/store/etcdWatch.ts
@@ -1,4 +1,4 @@
-/** One watch: a stream of changes until it breaks or its owner closes it. */
+/** A watch: a stream of changes that ends when the stream is interrupted or the watch is closed. */
 import type { ClientDuplexStream } from '@grpc/grpc-js'
 import { Emitter } from '@umberspar/base/common/event'
 import type { IStoreWatch, StoreChange } from '@umberspar/steering/common/ports/keyValueStore'
@@ -6,10 +6,10 @@
 import type { WatchRequest, WatchResponse } from '../generated/etcd/rpc.js'
 import { decodeChange, encodeWatch } from './etcdMessages.js'
 
-/** The stream a watch runs on. */
+/** The gRPC stream of a watch. */
 export type WatchStream = ClientDuplexStream<WatchRequest, WatchResponse>
 
-/** An IStoreWatch over one gRPC stream. */
+/** Implements {@link IStoreWatch} over one gRPC stream. */
 export class EtcdWatch implements IStoreWatch {
   private readonly changeEmitter = new Emitter<StoreChange>()
   private readonly endEmitter = new Emitter<WatchEnd>()
@@ -18,10 +18,10 @@
   readonly onDidEnd = this.endEmitter.event
 
   /**
-   * @param stream a new stream, owned by the watch from now on
-   * @param prefix what the watched keys begin with
-   * @param fromRevision the first revision of interest
-   * @param onEnd called once, when the stream has broken (true) or its owner closed it (false)
+   * @param stream a new stream, which the watch takes ownership of
+   * @param prefix the common prefix of the watched keys
+   * @param fromRevision the first revision to report
+   * @param onEnd called once, with true if the stream was interrupted and false if the watch was closed or its revisions were compacted
    */
   constructor (
     private readonly stream: WatchStream,
@@ -30,8 +30,8 @@
     private readonly onEnd: (isBroken: boolean) => void
   ) {
     stream.on('data', (response: WatchResponse) => { this.handleResponse(response) })
-    // A server that stops ends the stream cleanly; a lost connection is an error.
-    // Either way changes may be missed from here on, so both end the watch.
+    // A server that shuts down ends the stream cleanly, a lost connection is an error.
+    // In both cases later changes may be missed, so both end the watch.
     stream.on('error', () => { this.endWatch(WatchEnd.Cut) })
     stream.on('end', () => { this.endWatch(WatchEnd.Cut) })
     stream.write(encodeWatch(prefix, fromRevision))
--- a/packages/adapters/src/node/tls/tlsKeeper.ts
+++ b/packages/adapters/src/node/tls/tlsKeeper.ts
@@ -1,4 +1,4 @@
-/** Keeps one section's certificates and takes over renewed ones without a restart. */
+/** Holds the certificates of one `tls` section of the settings and replaces them without a restart. */
 import type { experimental } from '@grpc/grpc-js'
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -12,20 +12,20 @@
 type CaListener = experimental.CaCertificateUpdateListener
 type IdentityListener = experimental.IdentityCertificateUpdateListener
 
-/** What a TlsKeeper needs. */
+/** Options of {@link TlsKeeper}. */
 export interface TlsKeeperOptions {
   /** The section's path in the settings, for example `peers.tls`. */
   readonly section: string
   readonly files: TlsFiles
-  /** The name expected in the other side's certificate, in place of its address. */
+  /** The name expected in the peer's certificate instead of its address. */
   readonly serverName?: string | undefined
   readonly clock: IClock
   readonly logger: ILogger
 }
 
 /**
- * One section's certificates. It is a certificate provider for gRPC, whose
- * servers and channels then use the current certificates for new connections.
+ * Provides the certificates of one `tls` section. As a gRPC certificate provider, it makes
+ * gRPC servers and channels use the current certificates for new connections.
  */
 export class TlsKeeper implements IClosable, experimental.CertificateProvider {
   private readonly changeEmitter = new Emitter<TlsMaterial>()
@@ -34,14 +34,15 @@
   private secureContext: SecureContext | undefined
   private pendingRenewal: Promise<boolean> | undefined
 
-  /** Fires after renewed certificates were taken over. */
+  /** Fires after the certificates have been replaced by renewed ones. */
   readonly onDidChange = this.changeEmitter.event
 
   private constructor (private readonly options: TlsKeeperOptions, private material: TlsMaterial) {}
 
   /**
-   * @param options section and files
-   * @returns a keeper with checked certificates, or why the files can't be used
+   * Reads and checks the files of a section.
+   * @param options section, files and other options
+   * @returns a provider of the certificates, or an error if the files can't be used
    */
   static async load (options: TlsKeeperOptions): Promise<Result<TlsKeeper, StepError>> {
     const loaded = await loadTlsMaterial(options.section, options.files, options.clock.getWallTime())
@@ -51,25 +52,25 @@
     return new Ok(provider)
   }
 
-  /** The certificates in use. */
+  /** The current certificates. */
   get current (): TlsMaterial {
     return this.material
   }
 
-  /** The name expected in the other side's certificate; undefined: its address. */
+  /** The name expected in the peer's certificate; if undefined, its address is expected. */
   get serverName (): string | undefined {
     return this.options.serverName
   }
 
-  /** Whether a CA is given, so that the other side has to show a certificate of it. */
+  /** Whether a CA is configured, so that peers must present a certificate issued by it. */
   get hasCa (): boolean {
     return this.material.ca !== undefined
   }
 
   /**
-   * Parsing certificates anew is about a sixth of a connection's cost; all
-   * connections until the next renewal share one context.
-   * @returns the certificates as connections use them
+   * Parsing the certificates is about a sixth of the cost of a new connection, so all
+   * connections share one context until the next renewal.
+   * @returns a context with the current certificates
    */
   getSecureContext (): SecureContext {
     this.secureContext ??= createSecureContext(toContextOptions(this.material))
@@ -77,8 +78,8 @@
   }
 
   /**
-   * Reads the files again. Calls that come while they are read share that read.
-   * @returns whether renewed certificates were taken over
+   * Reads the files again. Calls made while they are being read share that read.
+   * @returns whether the certificates have been replaced
    */
   renew (): Promise<boolean> {
     this.pendingRenewal ??= this.loadRenewed().finally(() => { this.pendingRenewal = undefined })
@@ -87,8 +88,8 @@
 
   addCaCertificateListener (listener: CaListener): void {
     this.caListeners.add(listener)
-    // gRPC registers its own watcher only after this call; told at once, the
-    // update would reach nobody and its server would drop every connection.
+    // gRPC registers its own watcher only after this call. A synchronous update would be
+    // lost, and the gRPC server would drop every connection.
     queueMicrotask(() => { if (this.caListeners.has(listener)) this.sendCaUpdate(listener) })
   }
 
@@ -112,9 +113,9 @@
   }
 
   /**
-   * A renewal that is half written (the certificate is new, the key still old),
-   * truncated or ended would leave the daemon unable to speak to anybody. It is
-   * checked whole first; the old certificates stay until a check succeeds.
+   * Files that are partly written (a new certificate with the old key), truncated or
+   * expired would leave the daemon unable to open any connection. Therefore all files are
+   * checked first, and the old certificates stay in use until a check succeeds.
    */
   private async loadRenewed (): Promise<boolean> {
     const { section, files, clock, logger } = this.options
--- a/packages/adapters/src/node/tls/tlsMaterial.ts
+++ b/packages/adapters/src/node/tls/tlsMaterial.ts
@@ -1,4 +1,4 @@
-/** Reads certificates and keys from files and checks them before anything uses them. */
+/** Reads certificates and keys from files and checks them before they are used. */
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
 import { createPrivateKey, type KeyObject, X509Certificate } from 'node:crypto'
@@ -8,19 +8,19 @@
 const LOAD_STEP = 'load-tls'
 const PEM_CERTIFICATE_PATTERN = /-----BEGIN CERTIFICATE-----[\s\S]+?-----END CERTIFICATE-----/g
 
-/** Where certificates are; which of them must be given is the settings' matter. */
+/** Paths of the certificate files; the settings schema decides which of them are required. */
 export interface TlsFiles {
   readonly certificate?: string | undefined
   readonly key?: string | undefined
   readonly ca?: string | undefined
 }
 
-/** The contents of the files, in PEM. The key is never logged. */
+/** The contents of the files, in PEM format. The key is never logged. */
 export interface TlsMaterial {
   readonly certificate: Buffer | undefined
   readonly key: Buffer | undefined
   readonly ca: Buffer | undefined
-  /** When the own certificate ends, as wall time. */
+  /** When this node's certificate expires, as wall time. */
   readonly expiresAtWallMs: number | undefined
 }
 
@@ -28,8 +28,8 @@
  * Reads and checks the files of one `tls` section.
  * @param section the section's path in the settings, for errors
  * @param files the paths
- * @param nowWallMs the wall time; a certificate that has ended is refused
- * @returns the contents, or an error that names the field and the file; no error holds a file's content
+ * @param nowWallMs the current wall time; an expired certificate is rejected
+ * @returns the contents, or an error that names the field and the file; errors never contain a file's contents
  */
 export async function loadTlsMaterial (section: string, files: TlsFiles, nowWallMs: number): Promise<Result<TlsMaterial, StepError>> {
   try {
@@ -62,24 +62,24 @@
   if (pem === undefined) return undefined
   const field = `${section}.${name}`
   const blocks = pem.toString('latin1').match(PEM_CERTIFICATE_PATTERN) ?? []
-  if (blocks.length === 0) throw createError(field, path ?? '', 'the file holds no certificate in PEM')
+  if (blocks.length === 0) throw createError(field, path ?? '', 'the file contains no certificate in PEM format')
   try {
     return blocks.map((block) => new X509Certificate(block))
   } catch {
-    throw createError(field, path ?? '', 'the file holds a certificate that can\'t be parsed')
+    throw createError(field, path ?? '', 'the file contains a certificate that can\'t be parsed')
   }
 }
 
 /**
- * Writes anew what was parsed. Two files joined without a line end between them
- * would pass the check here, while OpenSSL reads the first certificate only: a new
- * CA would look installed and not be trusted.
+ * Encodes the parsed certificates again. If two files were concatenated without a line
+ * break in between, the file would pass the check here, but OpenSSL would read only the
+ * first certificate: a new CA would seem to be installed and yet not be trusted.
  */
 function encodePem (certificates: readonly X509Certificate[] | undefined): Buffer | undefined {
   return certificates === undefined ? undefined : Buffer.from(certificates.map(String).join('\n'))
 }
 
-/** The first certificate of the file is the own one; intermediate ones follow. */
+/** Checks the first certificate of the file, which identifies this node; intermediate certificates follow it. */
 function checkIdentity (section: string, files: TlsFiles, leaf: X509Certificate, keyPem: Buffer | undefined, nowWallMs: number): number {
   const path = files.certificate ?? ''
   const expiresAtWallMs = Date.parse(leaf.validTo)
@@ -94,22 +94,22 @@
   try {
     return createPrivateKey(pem ?? '')
   } catch {
-    throw createError(`${section}.key`, path, 'the file holds no private key in PEM without a passphrase')
+    throw createError(`${section}.key`, path, 'the file contains no private key in PEM format without a passphrase')
   }
 }
 
-/** What OpenSSL refuses for its own reasons (a weak key, say) must show here, not at the first connection. */
+/** Lets OpenSSL check the files, so that what it rejects (a weak key, for example) is found now and not at the first connection. */
 function checkContext (section: string, files: TlsFiles, material: Pick<TlsMaterial, 'certificate' | 'key' | 'ca'>): void {
   try {
     createSecureContext(toContextOptions(material))
   } catch (cause) {
-    throw createError(`${section}.certificate`, files.certificate ?? files.ca ?? '', `refused by the TLS library: ${(cause as NodeJS.ErrnoException).code ?? 'unknown'}`)
+    throw createError(`${section}.certificate`, files.certificate ?? files.ca ?? '', `rejected by the TLS library: ${(cause as NodeJS.ErrnoException).code ?? 'unknown'}`)
   }
 }
 
 /**
- * @param material checked contents
- * @returns them as Node.js's TLS takes them, absent ones left out
+ * @param material the checked contents of the files
+ * @returns the options of a Node.js secure context, without the absent files
  */
 export function toContextOptions ({ certificate, key, ca }: Pick<TlsMaterial, 'certificate' | 'key' | 'ca'>): { cert?: Buffer, key?: Buffer, ca?: Buffer } {
   return {
--- a/packages/adapters/src/node/tls/tlsOptions.ts
+++ b/packages/adapters/src/node/tls/tlsOptions.ts
@@ -1,10 +1,10 @@
-/** What the libraries take in place of plain text: credentials for gRPC, connect options for undici. */
+/** Builds the TLS options of the libraries: credentials for gRPC, connect options for undici. */
 import { experimental, type ServerCredentials } from '@grpc/grpc-js'
 import { checkServerIdentity, type SecureContext } from 'node:tls'
 import type { ChannelSecurityFactory } from '../grpc/grpcCalls.js'
 import type { TlsKeeper } from './tlsKeeper.js'
 
-/** Sent where the other side is known by its IP number only (RFC 6761: never a real name). */
+/** Sent as server name where the server is known only by its IP address; `.invalid` is reserved by RFC 6761 and never resolves. */
 const PLACEHOLDER_SERVER_NAME = 'umberspar.invalid'
 
 /** TLS options for one new connection to a worker. */
@@ -14,23 +14,23 @@
 }
 
 /**
- * @param provider with certificate, key and CA
- * @returns credentials of a gRPC server that takes only clients with a certificate of the CA
+ * @param provider provides certificate, key and CA
+ * @returns credentials of a gRPC server that accepts only clients with a certificate issued by the CA
  */
 export function createServerCredentials (provider: TlsKeeper): ServerCredentials {
   return experimental.createCertificateProviderServerCredentials(provider, provider, true)
 }
 
 /**
- * @param provider with a CA, and with certificate and key where the server asks for them
- * @returns the security of gRPC channels; each new connection uses the current certificates
+ * @param provider provides the CA, and certificate and key if the server requires them
+ * @returns the security settings of gRPC channels; each new connection uses the current certificates
  */
 export function createChannelSecurity (provider: TlsKeeper): ChannelSecurityFactory {
   const identity = provider.current.certificate === undefined ? null : provider
   return (address) => {
     const expectedName = provider.serverName ?? new URL(`https://${address}`).hostname.replace(/^\[|\]$/g, '')
-    // gRPC would send the address as server name, which TLS does not allow for IP
-    // numbers; so another name is sent, and the certificate is checked against the address.
+    // gRPC would send the address as server name, which TLS does not allow for IP addresses.
+    // So a placeholder is sent, and the certificate is checked against the expected name.
     const credentials = experimental.createCertificateProviderChannelCredentials(provider, identity, {
       checkServerIdentity: (_sentName, certificate) => checkServerIdentity(expectedName, certificate)
     })
@@ -39,8 +39,8 @@
 }
 
 /**
- * @param provider with a CA, and with certificate and key where the worker asks for them
- * @returns what a new connection uses now
+ * @param provider provides the CA, and certificate and key if the worker requires them
+ * @returns TLS options with the current certificates
  */
 export function buildConnectTls (provider: TlsKeeper): ConnectTls {
   const { serverName } = provider
--- a/packages/adapters/src/node/upstream/attempt.ts
+++ b/packages/adapters/src/node/upstream/attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt to run a request at one worker: what goes in, what comes out, how it fails. */
+/** Types of an attempt to send a request to a worker: request, response and errors. */
 import type { Readable } from 'node:stream'
 import type { Deadline } from '@umberspar/base/common/deadline'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -6,50 +6,50 @@
 import type { StepErrorDetails } from '@umberspar/base/common/errors'
 import { StepError } from '@umberspar/base/common/errors'
 
-/** Header names in lower case; a header that came several times keeps all its values. */
+/** Headers by lower-case name; a header that occurs several times keeps all its values. */
 export type HeaderMap = Record<string, string | string[]>
 
-/** A request for one worker. */
+/** A request to one worker. */
 export interface AttemptRequest {
   readonly workerId: string
-  /** `host:port` of the worker, as given to `setWorkers`. */
+  /** `host:port` of the worker, as passed to `setWorkers`. */
   readonly address: string
   readonly method: string
-  /** Begins with `/` and holds the query. */
+  /** Path and query; begins with `/`. */
   readonly path: string
-  /** Hop-by-hop headers among them are left out. */
+  /** Hop-by-hop headers are removed before sending. */
   readonly headers: Record<string, string | string[]>
-  /** Untouched if the attempt fails with `mayHaveSent` false for another cause than deadline or signal. */
+  /** Not read from if the attempt fails with `mayHaveSent` false for a reason other than deadline or signal. */
   readonly body: Readable | Uint8Array | null
-  /** Bounds the whole attempt, the response's body included. */
+  /** Applies to the whole attempt, including the response body. */
   readonly deadline: Deadline
-  /** Cancels the attempt at any point, the response's body included. */
+  /** Cancels the attempt at any time, also while the response body is being received. */
   readonly signal: AbortSignal
 }
 
-/** A worker's answer, from the moment its headers are known. */
+/** A worker's response; available once its headers have been received. */
 export interface AttemptResponse {
   readonly status: number
   readonly headers: Record<string, string | string[]>
-  /** Ends only if the whole body has come; anything else is an `error` event with an AttemptError. */
+  /** Ends only when the complete body has been received; otherwise it emits `error` with an {@link AttemptError}. */
   readonly body: Readable
 }
 
-/** Where an AttemptError arose, and what that says about the request. */
+/** Details of an {@link AttemptError}. */
 export interface AttemptErrorDetails extends StepErrorDetails {
   readonly mayHaveSent: boolean
   readonly hasHeaders: boolean
-  /** False if left out. */
+  /** Defaults to false. */
   readonly isLate?: boolean
 }
 
 /** Why an attempt failed. */
 export class AttemptError extends StepError {
-  /** False only if no byte of the request can have left. */
+  /** False only if no byte of the request can have been sent. */
   readonly mayHaveSent: boolean
-  /** Whether the response's headers had come; the error is then on the body's stream. */
+  /** Whether the response headers had been received; the error is then emitted by the body stream. */
   readonly hasHeaders: boolean
-  /** The deadline ended it; timers may fire a fraction of a millisecond early, so the clock cannot tell. */
+  /** Whether the deadline ended the attempt. The clock can't tell, as timers may fire a fraction of a millisecond early. */
   readonly isLate: boolean
 
   constructor (details: AttemptErrorDetails) {
@@ -61,55 +61,55 @@
   }
 }
 
-/** How many connections this process may hold to a worker. */
+/** How many connections this process may have open to a worker. */
 export interface WorkerLimit {
   readonly address: string
   readonly connections: number
 }
 
-/** What a worker says of itself. */
+/** A worker's responses to a probe. */
 export interface WorkerProbe {
-  /** It answered 200: ready or starting. False while it drains; look at `isDraining` first. */
+  /** Whether the worker responded with status 200, being ready or starting. False while it drains, so check `isDraining` first. */
   readonly isHealthy: boolean
   readonly isDraining: boolean
   readonly isStarting: boolean
-  /** What its load endpoint says; undefined if it was not asked. */
+  /** The load that the worker reports; undefined if the probe did not request it. */
   readonly load: ProbedLoad | undefined
 }
 
-/** What a worker's load endpoint says. */
+/** The response of a worker's load endpoint. */
 export interface ProbedLoad {
-  /** 0 is idle, 1 is full; may exceed 1. */
+  /** 0 is idle, 1 is fully loaded; may exceed 1. */
   readonly utilization: number
   readonly inFlight: number
 }
 
-/** What a probe asks for; each endpoint costs a worker up to 6 ms of a slot. */
+/** The endpoints that a probe requests; each request occupies one of the worker's slots for up to 6 ms. */
 export enum ProbeScope {
   Health = 'health',
   HealthAndLoad = 'health-and-load'
 }
 
-/** Carries requests to workers. */
+/** Sends requests to workers. */
 export interface IUpstreamTransport extends IClosable {
   /**
-   * Makes one attempt; never repeats it.
-   * @param request what to send
-   * @returns the answer once its headers are known; `Exhausted` at once if the worker's connections are all taken
+   * Makes one attempt, without retries.
+   * @param request the request
+   * @returns the response once its headers have been received; `Exhausted` immediately if all connections to the worker are in use
    */
   send(request: AttemptRequest): Promise<Result<AttemptResponse, AttemptError>>
   /**
-   * Replaces the workers and their limits of connections. A worker left out gets
-   * no new request and loses its idle connections; its open requests finish.
-   * @param workers all workers; limits of entries with the same address add up
+   * Replaces the workers and their connection limits. A worker that is no longer listed gets
+   * no new requests and its idle connections are closed; requests in flight finish.
+   * @param workers all workers; the limits of entries with the same address are added
    */
   setWorkers(workers: ReadonlyArray<WorkerLimit>): void
   /**
-   * Asks a worker for its health, and for its load if wanted, over its counted connections.
-   * @param address the worker
-   * @param deadline by when all answers must have come
-   * @param scope what to ask for
-   * @returns what it says; an error if it does not answer or answers nonsense
+   * Requests a worker's health, and its load if `scope` includes it. The requests use connections that count towards the worker's limit.
+   * @param address `host:port` of the worker
+   * @param deadline when all responses must have been received
+   * @param scope the endpoints to request
+   * @returns the worker's state; an error if it does not respond or its response is invalid
    */
   probe(address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>>
 }
--- a/packages/adapters/src/node/upstream/attemptHandler.ts
+++ b/packages/adapters/src/node/upstream/attemptHandler.ts
@@ -1,4 +1,4 @@
-/** Follows one attempt through undici and decides what its failure says about the request. */
+/** Handles undici's callbacks for one attempt and decides whether a failed request may have been sent. */
 import { Readable } from 'node:stream'
 import type { Dispatcher } from 'undici'
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
@@ -9,17 +9,17 @@
 import { AttemptError } from './attempt.js'
 import { removeHopByHopHeaders } from './hopByHop.js'
 
-/** The step named in the errors of an attempt. */
+/** The step in the errors of an attempt. */
 export const ATTEMPT_STEP = 'send-to-worker'
 
-/** How far an attempt has come. */
+/** The progress of an attempt. */
 enum Phase {
-  /** Not handed to a connected socket: no byte can have left. */
+  /** Not yet passed to a connected socket: no byte can have been sent. */
   Waiting = 'waiting',
-  /** Handed to a connected socket: any byte may have left. */
+  /** Passed to a connected socket: any part of the request may have been sent. */
   Sent = 'sent',
-  /** The response's headers have come. */
-  Answering = 'answering',
+  /** The response headers have been received. */
+  ReceivingResponse = 'answering',
   Finished = 'over'
 }
 
@@ -33,9 +33,9 @@
 
 function handleLateError (): void {}
 
-/** The handler of one dispatched request; used once. */
+/** The undici handler of one request; can't be reused. */
 export class AttemptHandler implements Dispatcher.DispatchHandler {
-  /** Settled at the response's headers or at the failure before them. */
+  /** Resolves when the response headers have been received or the attempt has failed before that. */
   readonly result: Promise<Result<AttemptResponse, AttemptError>>
   private resolve: (result: Result<AttemptResponse, AttemptError>) => void = handleLateError
   private phase: Phase = Phase.Waiting
@@ -45,9 +45,9 @@
   private readonly onAbort = (): void => { this.cancel(ErrorCode.Cancelled, 'the attempt was cancelled') }
 
   /**
-   * @param request what is sent
-   * @param clock for the deadline
-   * @param onFinished called once when the connection is done with the attempt, and whether it may carry another
+   * @param request the request
+   * @param clock the clock that the request's deadline refers to
+   * @param onFinished called once when the connection has finished with the attempt, with whether it can be reused
    */
   constructor (
     private readonly request: AttemptRequest,
@@ -55,16 +55,16 @@
     private readonly onFinished: (isReusable: boolean) => void
   ) {
     this.result = new Promise((resolve) => { this.resolve = resolve })
-    this.timer = clock.schedule(request.deadline, () => { this.cancel(ErrorCode.DeadlinePassed, 'the deadline passed') })
+    this.timer = clock.schedule(request.deadline, () => { this.cancel(ErrorCode.DeadlinePassed, 'the deadline passed during the attempt') })
     request.signal.addEventListener('abort', this.onAbort, { once: true })
   }
 
-  /** undici calls this just before it writes the first byte to a connected socket, never earlier. */
+  /** Called by undici immediately before it writes the first byte to a connected socket, never earlier. */
   onRequestStart (controller: Dispatcher.DispatchController): void {
-    // undici puts a running request back into its queue when a socket closes for a
-    // reason of its own; the second start would run a request twice, so it is refused.
+    // When a socket closes for some internal reasons, undici puts the running request back
+    // into its queue. A second start could execute the request twice, so it is aborted.
     if (this.phase !== Phase.Waiting) {
-      controller.abort(this.createError(ErrorCode.EffectUnknown, 'the connection closed under the request'))
+      controller.abort(this.createError(ErrorCode.EffectUnknown, 'the connection closed while the request was in flight'))
       return
     }
     this.phase = Phase.Sent
@@ -73,7 +73,7 @@
 
   onResponseStart (controller: Dispatcher.DispatchController, status: number, headers: Record<string, string | string[] | undefined>): void {
     if (status < MIN_FINAL_STATUS) return
-    this.phase = Phase.Answering
+    this.phase = Phase.ReceivingResponse
     this.body = this.createBody(controller)
     this.resolve(Ok({ status, headers: removeHopByHopHeaders(headers), body: this.body }))
   }
@@ -100,11 +100,11 @@
 
   private cancel (code: ErrorCode, message: string): void {
     if (this.phase === Phase.Finished) return
-    const isLate = code === ErrorCode.DeadlinePassed
-    const isDeadlineAfterSend = isLate && this.phase !== Phase.Waiting
-    const error = this.createError(isDeadlineAfterSend ? ErrorCode.EffectUnknown : code, message, undefined, isLate)
+    const isDeadlinePassed = code === ErrorCode.DeadlinePassed
+    const isSentAndLate = isDeadlinePassed && this.phase !== Phase.Waiting
+    const error = this.createError(isSentAndLate ? ErrorCode.EffectUnknown : code, message, undefined, isDeadlinePassed)
     this.controller?.abort(error)
-    // Before the start there is no controller; after it abort has called onResponseError already.
+    // Before onRequestStart there is no controller. After it, abort has already called onResponseError, and this call has no effect.
     this.settleFailure(error)
   }
 
@@ -126,19 +126,19 @@
     const body = new Readable({
       read: () => { controller.resume() },
       destroy: (failure, callback) => {
-        this.cancel(ErrorCode.Cancelled, 'the reader of the body left')
-        // Headers and a failure can arrive in one packet; the error then waits a turn
-        // of the loop, so that whoever awaits the response can listen for it.
+        this.cancel(ErrorCode.Cancelled, 'the reader closed the response body')
+        // Headers and a failure can arrive in the same packet. The error is delayed by one turn
+        // of the event loop, so that the code awaiting the response can add its listener first.
         setImmediate(callback, failure)
       }
     })
-    // A reader that comes even later finds the stream destroyed with its error;
-    // without a listener the event would end the process instead.
+    // A reader that attaches later still finds the stream destroyed with its error.
+    // Without this listener the error event would crash the process.
     body.on('error', handleLateError)
     return body
   }
 
-  private createError (code: ErrorCode, message: string, cause?: unknown, isLate = false): AttemptError {
+  private createError (code: ErrorCode, message: string, cause?: unknown, isDeadlinePassed = false): AttemptError {
     return new AttemptError({
       code,
       step: ATTEMPT_STEP,
@@ -146,8 +146,8 @@
       message: `${this.request.workerId}: ${message}`,
       cause,
       mayHaveSent: this.phase !== Phase.Waiting,
-      hasHeaders: this.phase === Phase.Answering,
-      isLate
+      hasHeaders: this.phase === Phase.ReceivingResponse,
+      isLate: isDeadlinePassed
     })
   }
 }
--- a/packages/adapters/src/node/upstream/hopByHop.ts
+++ b/packages/adapters/src/node/upstream/hopByHop.ts
@@ -1,8 +1,8 @@
-/** Headers that concern one connection only (RFC 9110, section 7.6.1) and are never passed on. */
+/** Removes the headers that apply to a single connection and must not be forwarded (RFC 9110, section 7.6.1). */
 import { HOP_BY_HOP_HEADERS } from '@umberspar/steering/common/request/headers'
 import type { HeaderMap } from './attempt.js'
 
-/** Trailers are not passed on; `Expect` was answered by our listener, and undici refuses it. */
+/** Trailers are not forwarded. `Expect` has already been handled by the listener, and undici rejects it. */
 const REMOVED_HEADERS: ReadonlySet<string> = new Set([...HOP_BY_HOP_HEADERS, 'trailer', 'expect'])
 
 function listConnectionOptions (headers: Readonly<Record<string, string | string[] | undefined>>): string[] {
@@ -11,8 +11,8 @@
 }
 
 /**
- * @param headers names in any case; `undefined` values are dropped
- * @returns the headers that belong to the message itself, names in lower case
+ * @param headers headers with names in any case; `undefined` values are dropped
+ * @returns the end-to-end headers, with names in lower case
  */
 export function removeHopByHopHeaders (headers: Readonly<Record<string, string | string[] | undefined>>): HeaderMap {
   const kept: HeaderMap = {}
--- a/packages/adapters/src/node/upstream/orca.ts
+++ b/packages/adapters/src/node/upstream/orca.ts
@@ -1,19 +1,18 @@
-/** The load that a worker reports in its answers, by ORCA's endpoint-load-metrics header. */
+/** Parses the load that a worker reports in its responses, in ORCA's `endpoint-load-metrics` header. */
 
-/** The header's name. */
 export const LOAD_HEADER = 'endpoint-load-metrics'
 
-/** A worker's load at the time it answered. */
+/** A worker's load when it sent a response. */
 export interface OrcaLoad {
-  /** 0 is idle, 1 is full; may exceed 1. */
+  /** 0 is idle, 1 is fully loaded; may exceed 1. */
   readonly utilization: number
-  /** Requests it was running. */
+  /** Number of requests that the worker was running. */
   readonly inFlight?: number
 }
 
 type NumberFields = ReadonlyMap<string, number>
 
-/** Flat names of the fields in use, in the order of preference. */
+/** Flattened names of the utilization fields, in order of preference. */
 const UTILIZATION_FIELDS = ['application_utilization', 'cpu_utilization']
 const IN_FLIGHT_FIELD = 'named_metrics.in_flight'
 const NAMED_METRICS_FIELD = 'named_metrics'
@@ -57,14 +56,14 @@
   try {
     return parse?.(header.slice(separator + 1))
   } catch {
-    // A worker that writes broken JSON here must not cost the caller its answer.
+    // Invalid JSON in this header must not make the caller's request fail.
     return undefined
   }
 }
 
 /**
- * @param headers a response's headers, names in lower case
- * @returns the reported load; undefined if there is none that can be used
+ * @param headers the response headers, with names in lower case
+ * @returns the reported load; undefined if it is missing or invalid
  */
 export function parseOrcaLoad (headers: Readonly<Record<string, string | string[] | undefined>>): OrcaLoad | undefined {
   const header = [headers[LOAD_HEADER] ?? []].flat()[0]
--- a/packages/adapters/src/node/upstream/upstreamTransport.ts
+++ b/packages/adapters/src/node/upstream/upstreamTransport.ts
@@ -1,13 +1,12 @@
 /**
- * Requests to workers by undici.
+ * Sends requests to workers with undici.
  *
- * A connection that is kept open can be closed by its worker in the moment a
- * request is written; such a request may have run, and the error says so. To make
- * this rare for requests that must not be repeated, idle connections live 2 s
- * only, the last used one is taken first, and undici looks for a pending close
- * before it writes. A new connection for each such request was the other way; it
- * costs every worker about 1 ms per request and still has the race at the end of
- * the request.
+ * A worker can close a kept-alive connection at the moment a request is written to it.
+ * The request may then have been executed, and the error says so. To make this rare for
+ * requests that must not be retried, idle connections are closed after 2 s, the most
+ * recently used one is reused first, and undici checks for a pending close before it
+ * writes. A new connection for each such request would cost every worker about 1 ms per
+ * request and still leave the race at the end of the request.
  */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { Deadline } from '@umberspar/base/common/deadline'
@@ -27,14 +26,14 @@
 export type { AttemptRequest, AttemptResponse, IUpstreamTransport, WorkerLimit, WorkerProbe } from './attempt.js'
 export { AttemptError, ProbeScope } from './attempt.js'
 
-/** What an UndiciTransport needs. */
+/** Options of {@link UndiciTransport}. */
 export interface UndiciTransportOptions {
   readonly clock: IClock
-  /** CA and client certificate for the workers; plain text if left out. */
+  /** CA and client certificate for connections to workers; without it they are plain text. */
   readonly tls?: TlsKeeper | undefined
 }
 
-/** An IUpstreamTransport over undici, HTTP/1.1, one request at a time per connection. */
+/** Implements {@link IUpstreamTransport} with undici over HTTP/1.1, with one request at a time per connection. */
 export class UndiciTransport implements IUpstreamTransport {
   private readonly workers = new Map<string, WorkerConnections>()
   private readonly clock: IClock
@@ -67,9 +66,9 @@
     const error = this.checkRequest(request)
     if (error !== undefined) return Err(error)
     const connections = this.workers.get(request.address)
-    if (connections === undefined) return Err(createUnsentError(request, ErrorCode.NotFound, 'no such worker'))
+    if (connections === undefined) return Err(createUnsentError(request, ErrorCode.NotFound, 'the worker is not known to the transport'))
     const client = connections.acquire()
-    if (client === undefined) return Err(createUnsentError(request, ErrorCode.Exhausted, 'all connections are taken'))
+    if (client === undefined) return Err(createUnsentError(request, ErrorCode.Exhausted, 'all connections to the worker are in use'))
     const handler = new AttemptHandler(request, this.clock, (isReusable) => { connections.release(client, isReusable) })
     const { method, path, body } = request
     client.dispatch({ method, path, body, headers: removeHopByHopHeaders(request.headers) }, handler)
@@ -80,7 +79,7 @@
     return this.probeReader.fetchProbe(address, deadline, scope)
   }
 
-  /** Ends all connections at once; whoever stops gracefully lets its requests finish before. */
+  /** Closes all connections immediately. For a graceful shutdown, wait for requests in flight first. */
   async close (): Promise<void> {
     this.isClosed = true
     await Promise.all([...this.workers.values()].map((connections) => connections.close()))
@@ -88,10 +87,10 @@
   }
 
   private checkRequest (request: AttemptRequest): AttemptError | undefined {
-    if (this.isClosed) return createUnsentError(request, ErrorCode.Cancelled, 'the transport is closed')
+    if (this.isClosed) return createUnsentError(request, ErrorCode.Cancelled, 'the transport has been closed')
     if (request.signal.aborted) return createUnsentError(request, ErrorCode.Cancelled, 'the attempt was cancelled')
     if (!hasPassed(request.deadline, this.clock.now())) return undefined
-    return createUnsentError(request, ErrorCode.DeadlinePassed, 'the deadline had passed')
+    return createUnsentError(request, ErrorCode.DeadlinePassed, 'the deadline passed before the attempt')
   }
 }
 
--- a/packages/adapters/src/node/upstream/workerConnections.ts
+++ b/packages/adapters/src/node/upstream/workerConnections.ts
@@ -1,55 +1,55 @@
-/** The connections of this process to one worker, never more than the limit. */
+/** Manages the connections of this process to one worker, up to a limit. */
 import { Client } from 'undici'
 import type { IClosable } from '@umberspar/base/common/closing'
 import type { TlsKeeper } from '../tls/tlsKeeper.js'
 import { buildConnectTls } from '../tls/tlsOptions.js'
 
 /**
- * An idle connection is closed after 2 s. Servers usually close theirs after 5 s;
- * closing first avoids the race in which a request goes out while the server's
- * close is on its way, which ends as "unknown" although nothing ran.
+ * Servers usually close idle connections after 5 s. Closing them earlier from this side avoids
+ * the race in which a request is sent while the server is closing the connection: its outcome
+ * would be reported as unknown although it was not executed.
  */
 const IDLE_TIMEOUT_MS = 2000
-/** Servers' hints may shorten the idle span, never lengthen it. */
+/** Subtracted from the server's `Keep-Alive` hint, which can shorten the idle timeout but never extend it. */
 const KEEP_ALIVE_HINT_MARGIN_MS = 1000
-/** A lost SYN is repeated after 1 s; a worker that misses both is not waited for. */
+/** TCP retransmits a lost SYN after 1 s; the timeout leaves time for that one retransmission. */
 const CONNECT_TIMEOUT_MS = 2000
-/** undici's own limits are off: the attempt's deadline alone bounds it. */
+/** Disables undici's own timeouts: the deadline of the attempt applies instead. */
 const NO_TIMEOUT = 0
 
 /**
- * Holds one undici Client per connection, each with one request at a time.
- * undici's Pool is not used: its limit is fixed, and it queues requests where
- * they can neither be cancelled nor ordered; here limits change at any time and
- * a request that finds no connection is refused at once.
+ * A pool with one undici Client per connection, each of which has one request at a time.
+ * undici's own Pool is not used because its limit is fixed, and because it queues requests
+ * that can then neither be cancelled nor reordered. Here the limit can change at any time,
+ * and a request is refused immediately if no connection is available.
  */
 export class WorkerConnections implements IClosable {
   private readonly openClients = new Set<Client>()
-  /** The last used connection is last and is taken first: the others may then lapse. */
+  /** Ordered by last use. The most recently used connection is reused first, so that the others can time out. */
   private readonly idleClients: Client[] = []
   private limit = 0
 
   /**
    * @param address `host:port`
-   * @param tls certificates; plain text without
+   * @param tls provides the certificates; without it connections are plain text
    */
   constructor (
     private readonly address: string,
     private readonly tls?: TlsKeeper
   ) {}
 
-  /** @returns whether no connection is left */
+  /** @returns whether no connection is open */
   isEmpty (): boolean {
     return this.openClients.size === 0
   }
 
-  /** @param limit connections from now on; idle ones above it close at once, used ones after their request */
+  /** @param limit the new connection limit; excess idle connections are closed immediately, those in use after their request */
   setLimit (limit: number): void {
     this.limit = limit
     this.closeExcess()
   }
 
-  /** @returns a connection for one request; undefined if all are taken */
+  /** @returns a connection for one request; undefined if all are in use */
   acquire (): Client | undefined {
     const client = this.idleClients.pop()
     if (client !== undefined) return client
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Takes a connection back.
-   * @param client from `acquire`
+   * Returns a connection to the pool.
+   * @param client a connection returned by `acquire`
    * @param isReusable whether its request ended cleanly
    */
   release (client: Client, isReusable: boolean): void {
@@ -71,7 +71,7 @@
     this.closeExcess()
   }
 
-  /** Closes all connections, those with open requests too. */
+  /** Closes all connections, including those with requests in flight. */
   async close (): Promise<void> {
     this.limit = 0
     this.idleClients.length = 0
@@ -110,7 +110,7 @@
     this.closeClient(client)
   }
 
-  /** The connection counts until its socket is closed, so that a new one can't exceed the limit. */
+  /** The connection counts towards the limit until its socket is closed. */
   private closeClient (client: Client): void {
     const removeClient = (): void => { this.openClients.delete(client) }
     client.destroy().then(removeClient, removeClient)
--- a/packages/adapters/src/node/upstream/workerProbe.ts
+++ b/packages/adapters/src/node/upstream/workerProbe.ts
@@ -1,4 +1,4 @@
-/** Reads a worker's health and load endpoints. */
+/** Requests the health and load endpoints of workers. */
 import type { Readable } from 'node:stream'
 import { z } from 'zod'
 import type { Deadline } from '@umberspar/base/common/deadline'
@@ -12,10 +12,10 @@
 const HEALTH_PATH = '/health'
 const LOAD_PATH = '/load'
 const STATUS_OK = 200
-/** More than any probe's answer needs; a worker that sends more is not believed. */
+/** Far larger than any valid response; a longer one is rejected as invalid. */
 const MAX_PROBE_BODY_BYTES = 65_536
 
-/** What a worker says of its state. */
+/** The states that a worker can report. */
 enum WorkerState {
   Ready = 'ready',
   Starting = 'starting',
@@ -31,7 +31,7 @@
   for await (const chunk of body) {
     const bytes = chunk as Buffer
     sizeBytes += bytes.byteLength
-    if (sizeBytes > MAX_PROBE_BODY_BYTES) throw new Error(`the answer exceeds ${MAX_PROBE_BODY_BYTES} bytes`)
+    if (sizeBytes > MAX_PROBE_BODY_BYTES) throw new Error(`the response exceeds ${MAX_PROBE_BODY_BYTES} bytes`)
     chunks.push(bytes)
   }
   return Buffer.concat(chunks).toString('utf8')
@@ -52,15 +52,15 @@
   readonly value: T
 }
 
-/** Reads a worker's endpoints over a transport; when to do so is its caller's matter. */
+/** Sends probes over a transport; callers decide when to probe. */
 export class ProbeReader {
   constructor (private readonly transport: Pick<IUpstreamTransport, 'send'>) {}
 
   /**
-   * @param address the worker
-   * @param deadline by when all answers must have come
-   * @param scope what to ask for
-   * @returns what the worker says of itself
+   * @param address `host:port` of the worker
+   * @param deadline when all responses must have been received
+   * @param scope the endpoints to request
+   * @returns the worker's state; an error if it does not respond or its response is invalid
    */
   async fetchProbe (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>> {
     const health = await this.fetchJson(address, HEALTH_PATH, healthSchema, deadline)
--- a/packages/adapters/src/node/vms/httpVmList.ts
+++ b/packages/adapters/src/node/vms/httpVmList.ts
@@ -1,4 +1,4 @@
-/** The platform's list of VMs, read by HTTP. */
+/** Reads the platform's VM list over HTTP. */
 import { Client } from 'undici'
 import type { Dispatcher } from 'undici'
 import type { IClock } from '@umberspar/base/common/clock'
@@ -12,18 +12,19 @@
 
 const FETCH_STEP = 'fetch-vm-list'
 const STATUS_OK = 200
-/** About fifteen times the list of the largest fleet planned for (some 250 bytes a VM). */
+/** About 15 times the size of the list for the largest planned fleet, at about 250 bytes per VM. */
 const MAX_BODY_BYTES = 33_554_432
+/** Disables undici's own timeouts: the caller's deadline applies instead. */
 const NO_TIMEOUT = 0
 
-/** What an HttpVmList needs. */
+/** Options of {@link HttpVmList}. */
 export interface HttpVmListOptions {
-  /** Answers a VmListSnapshot as JSON. */
+  /** Serves a {@link VmListSnapshot} as JSON. */
   readonly url: string
   readonly clock: IClock
 }
 
-/** An IVmList over one HTTP connection. */
+/** Implements {@link IVmList} over one HTTP connection. */
 export class HttpVmList implements IVmList {
   private readonly url: URL
   private readonly clock: IClock
@@ -36,9 +37,9 @@
   }
 
   async fetch (deadline: Deadline): Promise<Result<VmListSnapshot, StepError>> {
-    if (hasPassed(deadline, this.clock.now())) return this.createError(ErrorCode.DeadlinePassed, 'the deadline had passed')
+    if (hasPassed(deadline, this.clock.now())) return this.createError(ErrorCode.DeadlinePassed, 'the deadline passed before the request')
     const abortController = new AbortController()
-    const timer = this.clock.schedule(deadline, () => { abortController.abort(new Error('the deadline passed')) })
+    const timer = this.clock.schedule(deadline, () => { abortController.abort(new Error('the deadline passed during the request')) })
     try {
       const response = await this.client.request({ method: 'GET', path: this.url.pathname + this.url.search, signal: abortController.signal })
       return await this.parseResponse(response)
@@ -54,13 +55,13 @@
   }
 
   private async parseResponse (response: Dispatcher.ResponseData): Promise<Result<VmListSnapshot, StepError>> {
-    // The body is read in any case: a connection with an unread body can't be used again.
+    // Always read the body: a connection with an unread body can't be reused.
     const text = await response.body.text()
-    if (response.statusCode !== STATUS_OK) return this.createError(ErrorCode.Unavailable, `status ${response.statusCode}`)
+    if (response.statusCode !== STATUS_OK) return this.createError(ErrorCode.Unavailable, `the server responded with status ${response.statusCode}`)
     try {
       return Ok(vmListSchema.parse(JSON.parse(text)))
     } catch (thrown) {
-      return this.createError(ErrorCode.Invalid, 'the answer is not a list of VMs', thrown)
+      return this.createError(ErrorCode.Invalid, 'the response is not a valid VM list', thrown)
     }
   }
 
--- a/packages/adapters/src/node/vms/vmListSchema.ts
+++ b/packages/adapters/src/node/vms/vmListSchema.ts
@@ -1,4 +1,4 @@
-/** The shape of the platform's list of VMs on the wire. */
+/** Schema of the platform's VM list on the wire. */
 import { z } from 'zod'
 import type { VmListSnapshot } from '@umberspar/steering/common/ports/vmList'
 import { VmRole, VmState } from '@umberspar/steering/common/ports/vmList'
@@ -14,7 +14,7 @@
   operatorAddress: z.string().min(1).optional()
 })
 
-/** Checks an answer of the platform; fields it does not know are dropped. */
+/** Validates a response of the platform; unknown fields are dropped. */
 export const vmListSchema: z.ZodType<VmListSnapshot> = z.object({
   version: z.number().int().min(0),
   vms: z.array(vmEntrySchema)
--- a/packages/adapters/test/node/metrics/statsdMetrics.test.ts
+++ b/packages/adapters/test/node/metrics/statsdMetrics.test.ts
@@ -4,7 +4,7 @@
 import { it } from 'node:test'
 import { StatsdMetrics } from '../../../src/node/metrics/statsdMetrics.js'
 
-it('sends what is buffered when it closes, and accepts measurements afterwards without a throw', async () => {
+it('sends buffered measurements on close, and ignores later ones without throwing', async () => {
   const receiver = createSocket('udp4')
   receiver.bind(0, '127.0.0.1')
   await once(receiver, 'listening')
--- a/packages/adapters/test/node/peers/peerMessages.test.ts
+++ b/packages/adapters/test/node/peers/peerMessages.test.ts
@@ -4,10 +4,10 @@
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
 import { decodeDigest, encodeDigest } from '../../../src/node/peers/peerMessages.js'
 
-// A faulty daemon reports NaN as a worker's load. Every comparison with it is
-// false, so all nodes that hear of it would choose among the place's workers by
-// chance, and a sum over demand would never be a number again.
-test('a digest with a figure that is no number of 0 or more is refused whole', () => {
+// Guards against a faulty daemon that reports NaN as a load. Every comparison with NaN is
+// false and every sum with it is NaN, so all nodes that receive the report would choose among
+// the workers of an upstream in that failure domain at random and lose their sums of demand.
+test('rejects a digest that contains a negative or non-finite value', () => {
   const worker = { workerId: 'w', utilization: 0.5, inFlight: 1, measuredAt: 0, isDraining: false, isHealthy: true, isStarting: false, isProbed: true, hasLoad: true }
   const demand = { service: 's', clientRegion: 'r', concurrency: 1, measuredAt: 0 }
   const digest = { nodeId: 'a', region: 'r', failureDomain: 'f', incarnation: 1, state: NodeState.Live as const, documents: [], workers: [worker], demand: [demand], beat: 1, members: [], confirmedAt: undefined }
--- a/packages/adapters/test/node/peers/peers.test.ts
+++ b/packages/adapters/test/node/peers/peers.test.ts
@@ -13,15 +13,15 @@
 const TEST_TIMEOUT_MS = 60_000
 const clock = new SystemClock()
 const document = { name: 'configuration', version: 5, digest: 'ab', changeId: 'c' }
-const cleanUps: Array<() => Promise<void> | void> = []
+const cleanUpSteps: Array<() => Promise<void> | void> = []
 
 afterEach(async () => {
-  for (const cleanUp of cleanUps.splice(0).reverse()) await cleanUp()
+  for (const cleanUp of cleanUpSteps.splice(0).reverse()) await cleanUp()
 })
 
-/** Keeps what it was sent. */
+/** Records what it receives. */
 class FakePeerService implements IPeerService {
-  stored: PeerDocument | undefined
+  storedDocument: PeerDocument | undefined
   readonly digests: Digest[] = []
   readonly loans: LoanRequest[] = []
   readonly returns: LoanReturn[] = []
@@ -33,11 +33,11 @@
 
   fetch (name: string, aboveVersion: number): PeerDocument | undefined {
     if (name === 'broken') throw new StepError({ code: ErrorCode.NotFound, step: 'find-document', peer: 'local', message: 'no such document' })
-    return this.stored !== undefined && this.stored.document.version > aboveVersion ? this.stored : undefined
+    return this.storedDocument !== undefined && this.storedDocument.document.version > aboveVersion ? this.storedDocument : undefined
   }
 
   async push (pushed: PeerDocument): Promise<number> {
-    this.stored = pushed
+    this.storedDocument = pushed
     return pushed.document.version
   }
 
@@ -56,7 +56,7 @@
   const port = await server.listen()
   assert.ok(port.ok)
   const client = new PeerClient({ clock })
-  cleanUps.push(() => server.close(), () => { client.close() })
+  cleanUpSteps.push(() => server.close(), () => { client.close() })
   return { client, server, address: `127.0.0.1:${port.val}` }
 }
 
@@ -69,7 +69,7 @@
 }
 
 describe('peers over gRPC', () => {
-  it('carries a document of several chunks both ways, and none where the peer has no higher version', async () => {
+  it('pushes and fetches documents of several chunks, and fetches nothing if the peer has no higher version', async () => {
     const { client, address } = await openConnectedPair(new FakePeerService())
     for (const size of [0, 1, CHUNK_BYTES, 5 * CHUNK_BYTES + 17]) {
       const sent = createDocument(size)
@@ -85,49 +85,49 @@
     assert.equal(none.val, undefined)
   })
 
-  it('carries digests, with ages that never make a measurement newer', async () => {
+  it('exchanges digests without making a measurement look newer', async () => {
     const service = new FakePeerService()
     const { client, address } = await openConnectedPair(service)
     const measuredAt = clock.now()
     const report = { workerId: 'w', utilization: 0.5, inFlight: 3, measuredAt, isDraining: false, isHealthy: true, isStarting: false, isProbed: true, hasLoad: true }
     const member = { nodeId: 'third', incarnation: 4, beat: 7, state: NodeState.Live as const, documents: [document], demand: [], isSuspected: true }
     const digest: Digest = { nodeId: 'asking', state: NodeState.Leaving, incarnation: 2, documents: [document], demand: [], workers: [report], region: 'r', failureDomain: 'd', beat: 9, members: [member], confirmedAt: measuredAt }
-    const answer = await client.exchange(address, digest, createTestDeadline())
-    assert.ok(answer.ok)
-    const [seen] = service.digests
-    assert.deepEqual([seen?.nodeId, seen?.state, seen?.incarnation, seen?.documents], ['asking', NodeState.Leaving, 2, [document]])
-    assert.equal(answer.val.nodeId, 'answering')
-    assert.deepEqual([seen?.beat, seen?.members], [9, [member]])
-    assert.ok(seen?.confirmedAt !== undefined && seen.confirmedAt <= clock.now())
-    const returned = answer.val.workers[0]
+    const response = await client.exchange(address, digest, createTestDeadline())
+    assert.ok(response.ok)
+    const [received] = service.digests
+    assert.deepEqual([received?.nodeId, received?.state, received?.incarnation, received?.documents], ['asking', NodeState.Leaving, 2, [document]])
+    assert.equal(response.val.nodeId, 'answering')
+    assert.deepEqual([received?.beat, received?.members], [9, [member]])
+    assert.ok(received?.confirmedAt !== undefined && received.confirmedAt <= clock.now())
+    const returned = response.val.workers[0]
     assert.ok(returned !== undefined && returned.measuredAt <= measuredAt + 1)
     assert.deepEqual({ ...returned, measuredAt }, report)
   })
 
-  it('gives the borrower a deadline that does not lie after the lender’s', async () => {
-    // Both sides of a loan count it by their own clocks. If the borrower's ended
-    // later, both would use the same slots for a moment and overload the worker.
+  it('gives the borrower a deadline no later than the lender’s', async () => {
+    // Each side of a loan measures its duration on its own clock. If the loan ended later
+    // for the borrower, both would briefly use the same slots and overload the worker.
     const service = new FakePeerService()
     const { client, address } = await openConnectedPair(service)
     const request = { borrowerId: 'b', loanId: 'l', workerId: 'w', slots: 2, connections: 2, deadline: createTestDeadline() }
-    const answer = await client.borrow(address, request, createTestDeadline())
-    assert.ok(answer.ok)
-    const lenders = service.loans[0]?.deadline ?? 0
-    assert.ok(answer.val.deadline <= lenders)
+    const response = await client.borrow(address, request, createTestDeadline())
+    assert.ok(response.ok)
+    const lenderDeadline = service.loans[0]?.deadline ?? 0
+    assert.ok(response.val.deadline <= lenderDeadline)
     assert.ok((await client.returnLoan(address, { borrowerId: 'b', loanId: 'l' }, createTestDeadline())).ok)
     assert.deepEqual(service.returns, [{ borrowerId: 'b', loanId: 'l' }])
   })
 
-  it('reports errors with step and peer: refused, unreachable, lost', async () => {
+  it('reports refused calls, lost responses and unreachable peers, with step and peer', async () => {
     const service = new FakePeerService()
     const { client, server, address } = await openConnectedPair(service)
     const refused = await client.fetch(address, 'broken', 0, createTestDeadline())
     assert.ok(refused.err)
     assert.deepEqual([refused.val.code, refused.val.step, refused.val.peer], [ErrorCode.NotFound, 'peer-fetch', address])
     service.push = () => Promise.reject(new Error('fault'))
-    const lost = await client.push(address, createDocument(3 * CHUNK_BYTES), createTestDeadline())
-    assert.ok(lost.err)
-    assert.equal(lost.val.code, ErrorCode.EffectUnknown)
+    const ambiguous = await client.push(address, createDocument(3 * CHUNK_BYTES), createTestDeadline())
+    assert.ok(ambiguous.err)
+    assert.equal(ambiguous.val.code, ErrorCode.EffectUnknown)
     client.closePeer(address)
     await server.close()
     const unreachable = await client.push(address, createDocument(1), createTestDeadline())
@@ -137,17 +137,17 @@
 })
 
 describe('DocumentAssembler', () => {
-  it('refuses what is out of order, not whole or too large', () => {
+  it('rejects documents that are out of order, incomplete or too large', () => {
     const [first, second] = [...splitDocument(createDocument(2 * CHUNK_BYTES))]
     assert.ok(first !== undefined && second !== undefined)
     const assertRefused = (code: ErrorCode, step: () => void): void => {
       assert.throws(step, (error: unknown) => error instanceof StepError && error.code === code)
     }
     assertRefused(ErrorCode.Invalid, () => { new DocumentAssembler('p').add(second) })
-    const half = new DocumentAssembler('p')
-    half.add(first)
-    assertRefused(ErrorCode.Invalid, () => { half.build() })
-    assertRefused(ErrorCode.Invalid, () => { half.add({ ...second, document: { ...document, version: 6n } }) })
-    assertRefused(ErrorCode.Exhausted, () => { half.add({ ...second, data: Buffer.alloc(MAX_DOCUMENT_BYTES) }) })
+    const incomplete = new DocumentAssembler('p')
+    incomplete.add(first)
+    assertRefused(ErrorCode.Invalid, () => { incomplete.build() })
+    assertRefused(ErrorCode.Invalid, () => { incomplete.add({ ...second, document: { ...document, version: 6n } }) })
+    assertRefused(ErrorCode.Exhausted, () => { incomplete.add({ ...second, data: Buffer.alloc(MAX_DOCUMENT_BYTES) }) })
   })
 })
--- a/packages/adapters/test/node/settings/daemonSettings.test.ts
+++ b/packages/adapters/test/node/settings/daemonSettings.test.ts
@@ -19,7 +19,7 @@
   return checked.ok ? [] : checked.val.map(({ path }) => path)
 }
 
-test('tls sections and limits are accepted whole, and refused by the path of the field', () => {
+test('accepts complete tls sections and limits, and reports the path of an invalid field', () => {
   const { callers, peers, operators, store } = VALID_SETTINGS
   assert.deepEqual(listRefusedPaths({}), [])
   assert.deepEqual(listRefusedPaths({
--- a/packages/adapters/test/node/store/etcdStore.test.ts
+++ b/packages/adapters/test/node/store/etcdStore.test.ts
@@ -17,14 +17,14 @@
 const TEST_TIMEOUT_MS = 60_000
 const clock = new SystemClock()
 const header = { clusterId: 1n, memberId: 1n, revision: 42n, raftTerm: 1n }
-const put = { key: 'k', value: Buffer.from('v'), kind: 'put' as const }
-const cleanUps: Array<() => void> = []
+const putWrite = { key: 'k', value: Buffer.from('v'), kind: 'put' as const }
+const cleanUpSteps: Array<() => void> = []
 
 afterEach(() => {
-  for (const cleanUp of cleanUps.splice(0).reverse()) cleanUp()
+  for (const cleanUp of cleanUpSteps.splice(0).reverse()) cleanUp()
 })
 
-/** A store's server whose answers a test replaces one by one. */
+/** A fake etcd server; tests can replace its responses. */
 interface FakeEtcd {
   readonly server: Server
   readonly address: string
@@ -86,13 +86,13 @@
   const port = await new Promise<number>((resolve, reject) => {
     server.bindAsync('127.0.0.1:0', ServerCredentials.createInsecure(), (error, bound) => error === null ? resolve(bound) : reject(error))
   })
-  cleanUps.push(() => { server.forceShutdown() })
+  cleanUpSteps.push(() => { server.forceShutdown() })
   return Object.assign(fake, { address: `127.0.0.1:${port}` })
 }
 
 const answerTransactionApplied: KVServer['txn'] = (_call, callback) => { callback(null, { header, succeeded: true, responses: [] }) }
 
-/** An address at which nothing listens any more. */
+/** Returns an address on which no server is listening any more. */
 async function findClosedAddress (): Promise<string> {
   const fake = await openFakeEtcd()
   fake.server.forceShutdown()
@@ -101,7 +101,7 @@
 
 function openStore (...endpoints: string[]): IKeyValueStore {
   const store = createEtcdStore({ endpoints, clock, logger: NULL_LOGGER })
-  cleanUps.push(() => { store.close() })
+  cleanUpSteps.push(() => { store.close() })
   return store
 }
 
@@ -110,41 +110,41 @@
 }
 
 describe('EtcdStore, writes', () => {
-  it('says that the effect is unknown, and sends nothing again, when the answer is lost', async () => {
-    // An operator's patch is written; the store applies it and dies before it answers.
-    // Sending it again, or calling it unavailable, could apply it twice or hide it.
+  it('reports an unknown effect and does not retry when the response is lost', async () => {
+    // The store applies an operator's patch and fails before it responds. A retry could apply
+    // the patch twice, and reporting it as unavailable would hide that it was applied.
     const fake = await openFakeEtcd()
     fake.onTransaction = () => { fake.server.forceShutdown() }
     const second = await openFakeEtcd()
-    const written = await openStore(fake.address, second.address).transact({ conditions: [{ key: 'k', modRevision: 0 }], writes: [put] }, createTestDeadline())
+    const written = await openStore(fake.address, second.address).transact({ conditions: [{ key: 'k', modRevision: 0 }], writes: [putWrite] }, createTestDeadline())
     assert.ok(written.err)
     assert.deepEqual([written.val.code, written.val.peer], [ErrorCode.EffectUnknown, fake.address])
     assert.deepEqual([fake.transactions.length, second.transactions.length], [1, 0])
   })
 
-  it('says unavailable only when no endpoint could be connected', async () => {
+  it('reports unavailable only if it can connect to no endpoint', async () => {
     const closed = await findClosedAddress()
-    const refused = await openStore(closed).transact({ conditions: [], writes: [put] }, createTestDeadline())
+    const refused = await openStore(closed).transact({ conditions: [], writes: [putWrite] }, createTestDeadline())
     assert.ok(refused.err)
     assert.equal(refused.val.code, ErrorCode.Unavailable)
     const fake = await openFakeEtcd()
-    const written = await openStore(closed, fake.address).transact({ conditions: [], writes: [put] }, createTestDeadline())
+    const written = await openStore(closed, fake.address).transact({ conditions: [], writes: [putWrite] }, createTestDeadline())
     assert.deepEqual(written.val, { isApplied: true, revision: 42 })
   })
 
-  it('reports the server’s own refusals as without effect', async () => {
+  it('reports refusals by the server as calls without effect', async () => {
     const fake = await openFakeEtcd()
     const store = openStore(fake.address)
     const expected = [[status.RESOURCE_EXHAUSTED, ErrorCode.Exhausted], [status.NOT_FOUND, ErrorCode.NotFound], [status.INTERNAL, ErrorCode.EffectUnknown]] as const
     for (const [code, expectedCode] of expected) {
       fake.onTransaction = (_call, callback) => { callback({ code, details: 'refused' }) }
-      const written = await store.transact({ conditions: [], writes: [put] }, createTestDeadline())
+      const written = await store.transact({ conditions: [], writes: [putWrite] }, createTestDeadline())
       assert.ok(written.err)
       assert.equal(written.val.code, expectedCode)
     }
   })
 
-  it('counts a lease from before its request, and finds a lapsed one', async () => {
+  it('measures a lease from before its request, and detects an expired lease', async () => {
     const fake = await openFakeEtcd()
     const store = openStore(fake.address)
     const before = clock.now()
@@ -165,7 +165,7 @@
 })
 
 describe('EtcdStore, reads and watches', () => {
-  it('reads by prefix from the next endpoint when the first is gone', async () => {
+  it('lists keys by prefix from the next endpoint when the first is unreachable', async () => {
     const fake = await openFakeEtcd()
     const store = openStore(await findClosedAddress(), fake.address)
     const listed = await store.list('a/', createTestDeadline())
@@ -176,7 +176,7 @@
     assert.deepEqual([range?.key.toString(), range?.rangeEnd.toString()], ['a/', 'a0'])
   })
 
-  it('computes a range end that bounds exactly the keys with the prefix', () => {
+  it('computes a range end that includes exactly the keys with the prefix', () => {
     const bytes = fc.uint8Array({ minLength: 1, maxLength: 6 })
     fc.assert(fc.property(bytes, bytes, (prefix, key) => {
       const end = computeRangeEnd(prefix)
@@ -186,9 +186,9 @@
     }), { seed: 3, numRuns: 2000 })
   })
 
-  it('delivers changes in order and ends once as cut when the stream breaks', async () => {
-    // A node watches the configuration; the store's member is stopped. Without an
-    // end the node would wait for ever and serve an old configuration.
+  it('delivers changes in order and ends the watch when the stream is interrupted', async () => {
+    // A node watches the configuration while the store's member is stopped. If the watch did
+    // not end, the node would wait indefinitely and keep using an outdated configuration.
     const fake = await openFakeEtcd()
     const watch = openStore(fake.address).watch('a/', 43)
     const changes: StoreChange[] = []
@@ -202,7 +202,7 @@
     assert.equal(fake.created[0]?.createRequest?.startRevision, 43n)
   })
 
-  it('ends as compacted when the store has discarded the revisions', async () => {
+  it('ends the watch as compacted when the store has discarded the revisions', async () => {
     const fake = await openFakeEtcd()
     const watch = openStore(fake.address).watch('a/', 1)
     const hasEnded = new Promise<WatchEnd>((resolve) => { watch.onDidEnd(resolve) })
@@ -210,7 +210,7 @@
     assert.equal(await hasEnded, WatchEnd.Compacted)
   })
 
-  it('ends as cut when the member cannot be reached at all', async () => {
+  it('ends the watch as interrupted when the member is unreachable', async () => {
     const watch = openStore(await findClosedAddress()).watch('a/', 1)
     assert.equal(await new Promise<WatchEnd>((resolve) => { watch.onDidEnd(resolve) }), WatchEnd.Cut)
   })
--- a/packages/adapters/test/node/upstream/hostileHeaders.test.ts
+++ b/packages/adapters/test/node/upstream/hostileHeaders.test.ts
@@ -14,7 +14,7 @@
 let headerBytes = Buffer.alloc(0)
 let address = ''
 
-/** A worker that writes `fields` as they are into its answer. */
+/** A worker that writes `headerBytes` unchanged into its response. */
 const worker = createServer((socket) => {
   socket.on('error', () => {})
   socket.on('data', () => {
@@ -43,15 +43,15 @@
   return sent.val.headers
 }
 
-// A worker puts a control character, or a title in Chinese, into a header field. A
-// daemon hands fields on with setHeader, which throws on what HTTP does not allow:
-// the caller would get no answer and the slot would stay taken.
-test('header fields of a worker can be set on an answer as they are, byte for byte, or the attempt fails', async () => {
+// Guards against header fields with control characters or non-ASCII text. A daemon forwards
+// fields with setHeader, which throws on characters that HTTP does not allow: the caller would
+// get no response and the slot would never be released.
+test('header fields of a worker can be forwarded byte for byte, or the attempt fails', async () => {
   const title = await fetchHeaders(Buffer.from('X-Title: 护照 é €'))
   assert.equal(Buffer.from(String(title?.['x-title']), 'latin1').toString('utf8'), '护照 é €')
   const bytes = fc.uint8Array({ maxLength: 20 })
-  const isOneByte = fc.integer({ min: 0, max: 255 }).map((byte) => Uint8Array.of(97, byte, 98))
-  await fc.assert(fc.asyncProperty(fc.constantFrom('X-Odd: ', ''), fc.oneof(bytes, isOneByte), async (start, odd) => {
+  const oneByteInText = fc.integer({ min: 0, max: 255 }).map((byte) => Uint8Array.of(97, byte, 98))
+  await fc.assert(fc.asyncProperty(fc.constantFrom('X-Odd: ', ''), fc.oneof(bytes, oneByteInText), async (start, odd) => {
     const headers = await fetchHeaders(Buffer.concat([Buffer.from(start), odd]))
     for (const [name, value] of Object.entries(headers ?? {})) {
       validateHeaderName(name)
--- a/packages/adapters/test/node/upstream/upstreamTransport.test.ts
+++ b/packages/adapters/test/node/upstream/upstreamTransport.test.ts
@@ -15,10 +15,10 @@
 
 const TEST_TIMEOUT_MS = 60_000
 const clock = new SystemClock()
-const cleanUps: Array<() => Promise<unknown> | void> = []
+const cleanUpSteps: Array<() => Promise<unknown> | void> = []
 
 afterEach(async () => {
-  for (const cleanUp of cleanUps.splice(0).reverse()) await cleanUp()
+  for (const cleanUp of cleanUpSteps.splice(0).reverse()) await cleanUp()
 })
 
 async function openServer (server: Server): Promise<string> {
@@ -29,7 +29,7 @@
   })
   server.listen(0, '127.0.0.1')
   await once(server, 'listening')
-  cleanUps.push(async () => {
+  cleanUpSteps.push(async () => {
     for (const socket of sockets) socket.destroy()
     await new Promise((resolve) => { server.close(resolve) })
   })
@@ -47,7 +47,7 @@
 function createTransport (address: string, connections = 2, attemptClock: IClock = clock): UndiciTransport {
   const transport = new UndiciTransport({ clock: attemptClock })
   transport.setWorkers([{ address, connections }])
-  cleanUps.push(() => transport.close())
+  cleanUpSteps.push(() => transport.close())
   return transport
 }
 
@@ -68,15 +68,15 @@
 async function expectBodyError (transport: UndiciTransport, address: string): Promise<AttemptError> {
   const sent = await transport.send(createRequest(address))
   assert.ok(sent.ok)
-  const failure = await text(sent.val.body).then(() => assert.fail('the body ended as whole'), (error: unknown) => error)
+  const failure = await text(sent.val.body).then(() => assert.fail('the body ended without an error'), (error: unknown) => error)
   assert.ok(failure instanceof AttemptError)
   return failure
 }
 
-describe('UndiciTransport, whether a request may have left', () => {
-  it('says unsent when the worker refuses the connection', async () => {
-    // A caller pays; the worker's process is gone and its port answers with a reset.
-    // Nothing can have run, so the caller may be told so and the payment tried elsewhere.
+describe('UndiciTransport, whether a request may have been sent', () => {
+  it('reports the request as unsent when the worker refuses the connection', async () => {
+    // The worker's process is gone and its port responds with a reset. The request, a payment
+    // for example, can't have been executed, so it may be retried at another worker.
     const server = createServer()
     const address = await openServer(server)
     await new Promise((resolve) => { server.close(resolve) })
@@ -87,20 +87,20 @@
     assert.deepEqual([sent.val.code, sent.val.mayHaveSent, sent.val.peer], [ErrorCode.Unavailable, false, address])
   })
 
-  it('says possibly sent when the worker resets after the request came', async () => {
-    // A caller pays; the worker reads the request and dies before it answers.
-    // The payment may have run, so nobody may say that it did not.
+  it('reports the request as possibly sent when the worker resets the connection after receiving it', async () => {
+    // The worker reads the request, a payment for example, and crashes before it responds. The
+    // payment may have been executed, so the request must not be reported as unsent.
     const address = await openRawServer((socket) => { socket.resetAndDestroy() })
     const sent = await createTransport(address).send(createRequest(address))
     assert.ok(sent.err)
     assert.deepEqual([sent.val.code, sent.val.mayHaveSent, sent.val.hasHeaders], [ErrorCode.EffectUnknown, true, false])
   })
 
-  it('refuses at once, unsent, what finds no free connection, and serves it after a limit has grown', async () => {
-    const held: Array<() => void> = []
+  it('rejects a request immediately if no connection is free, and sends one after the limit has been raised', async () => {
+    const finishResponses: Array<() => void> = []
     const arrivals: Array<() => void> = []
     const address = await openHttpServer((_request, response) => {
-      held.push(() => { response.end('done') })
+      finishResponses.push(() => { response.end('done') })
       arrivals.shift()?.()
     })
     const transport = createTransport(address, 1)
@@ -111,14 +111,14 @@
     assert.ok(second.err)
     assert.deepEqual([second.val.code, second.val.mayHaveSent], [ErrorCode.Exhausted, false])
     transport.setWorkers([{ address, connections: 2 }])
-    const hasThird = new Promise<void>((resolve) => { arrivals.push(resolve) })
+    const hasThirdArrived = new Promise<void>((resolve) => { arrivals.push(resolve) })
     const third = transport.send(createRequest(address))
-    await hasThird
+    await hasThirdArrived
     transport.setWorkers([])
-    for (const finish of held) finish()
+    for (const finish of finishResponses) finish()
     for (const sent of await Promise.all([first, third])) {
       assert.ok(sent.ok)
-      assert.equal(await text(sent.val.body), 'done', 'a removed worker finishes its open requests')
+      assert.equal(await text(sent.val.body), 'done', 'a removed worker finishes its requests in flight')
     }
     const removed = await transport.send(createRequest(address))
     assert.ok(removed.err)
@@ -126,28 +126,28 @@
   })
 })
 
-describe('UndiciTransport, answers that are not whole', () => {
-  it('fails the body that ends before its Content-Length', async () => {
-    // A caller reads a consent letter; the worker dies in the middle of its answer.
-    // The connection closes without an error of its own; ending the stream cleanly
-    // would hand half a letter on as a whole one.
+describe('UndiciTransport, incomplete responses', () => {
+  it('fails a body that ends before its Content-Length', async () => {
+    // The worker crashes while it sends its response, and the connection closes without an
+    // error. If the stream ended cleanly, the caller would take a partial document for a
+    // complete one.
     const address = await openRawServer((socket) => { socket.end('HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nhalf') })
     const failure = await expectBodyError(createTransport(address), address)
     assert.deepEqual([failure.code, failure.hasHeaders], [ErrorCode.EffectUnknown, true])
   })
 
-  it('fails the chunked body without its last chunk, and the one with broken chunking', async () => {
+  it('fails a chunked body with a missing last chunk or invalid chunking', async () => {
     const head = 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n'
-    for (const rest of ['', 'zz\r\n']) {
-      const address = await openRawServer((socket) => { socket.end(head + rest) })
+    for (const invalidTail of ['', 'zz\r\n']) {
+      const address = await openRawServer((socket) => { socket.end(head + invalidTail) })
       const failure = await expectBodyError(createTransport(address), address)
       assert.equal(failure.hasHeaders, true)
     }
   })
 })
 
-describe('UndiciTransport, ending early', () => {
-  it('cancels the call at the worker when the signal aborts, before and after the headers', async () => {
+describe('UndiciTransport, cancellation and deadlines', () => {
+  it('cancels the request at the worker when the signal is aborted, before and after the headers', async () => {
     for (const hasHeaders of [false, true]) {
       const aborter = new AbortController()
       let onArrival = (): void => {}
@@ -174,9 +174,9 @@
     }
   })
 
-  it('ends a call whose deadline passes as possibly sent, and does not begin one that is late', async () => {
+  it('reports a request as possibly sent when its deadline passes, and does not send one whose deadline has passed', async () => {
     let fireDeadline = (): void => {}
-    const stillClock: IClock = {
+    const stoppedClock: IClock = {
       now: () => 0,
       getWallTime: () => 0,
       schedule: (_at, callback) => {
@@ -190,19 +190,19 @@
       response.on('close', onClose)
       fireDeadline()
     })
-    const transport = createTransport(address, 1, stillClock)
+    const transport = createTransport(address, 1, stoppedClock)
     const late = await transport.send(createRequest(address, { deadline: 0 }))
     assert.ok(late.err)
     assert.deepEqual([late.val.code, late.val.mayHaveSent], [ErrorCode.DeadlinePassed, false])
-    const passing = await transport.send(createRequest(address, { deadline: 1 }))
-    assert.ok(passing.err)
-    assert.deepEqual([passing.val.code, passing.val.mayHaveSent, passing.val.hasHeaders], [ErrorCode.EffectUnknown, true, false])
+    const overdue = await transport.send(createRequest(address, { deadline: 1 }))
+    assert.ok(overdue.err)
+    assert.deepEqual([overdue.val.code, overdue.val.mayHaveSent, overdue.val.hasHeaders], [ErrorCode.EffectUnknown, true, false])
     await hasClosed
   })
 })
 
-describe('UndiciTransport, whole answers', () => {
-  it('keeps repeated headers, drops hop-by-hop ones and passes HEAD, 103, 204 and 304', async () => {
+describe('UndiciTransport, complete responses', () => {
+  it('keeps repeated headers, removes hop-by-hop headers and supports HEAD, 103, 204 and 304', async () => {
     const statuses: Readonly<Record<string, number>> = { '/204': 204, '/304': 304 }
     const address = await openHttpServer((request, response) => {
       response.writeEarlyHints({ link: '</style.css>; rel=preload' })
@@ -225,13 +225,13 @@
     }
   })
 
-  it('probes health and load, and reports nonsense as an error', async () => {
-    const answers: Record<string, [number, string]> = {
+  it('probes health and load, and reports an invalid response as an error', async () => {
+    const responses: Record<string, [number, string]> = {
       '/health': [503, '{"state":"draining"}'],
       '/load': [200, '{"utilization":0.5,"inFlight":2}']
     }
     const address = await openHttpServer((request, response) => {
-      const [status, body] = answers[request.url ?? ''] ?? [404, '']
+      const [status, body] = responses[request.url ?? ''] ?? [404, '']
       response.writeHead(status).end(body)
     })
     const transport = createTransport(address)
@@ -240,9 +240,9 @@
     assert.deepEqual(probe.val, { isHealthy: false, isDraining: true, isStarting: false, load: { utilization: 0.5, inFlight: 2 } })
     const health = await transport.probe(address, deadline, ProbeScope.Health)
     assert.deepEqual(health.val, { isHealthy: false, isDraining: true, isStarting: false, load: undefined })
-    answers['/load'] = [200, '{"utilization":"much"}']
-    const nonsense = await transport.probe(address, deadline, ProbeScope.HealthAndLoad)
-    assert.ok(nonsense.err)
-    assert.equal(nonsense.val.code, ErrorCode.Invalid)
+    responses['/load'] = [200, '{"utilization":"much"}']
+    const invalid = await transport.probe(address, deadline, ProbeScope.HealthAndLoad)
+    assert.ok(invalid.err)
+    assert.equal(invalid.val.code, ErrorCode.Invalid)
   })
 })
