--- a/packages/adapters/test/node/peers/peerMessages.test.ts
+++ b/packages/adapters/test/node/peers/peerMessages.test.ts
@@ -6,7 +6,8 @@
 
 // Guards against a faulty daemon that reports NaN as a load. Every comparison with NaN is
 // false and every sum with it is NaN, so all nodes that receive the report would choose among
-// the workers of an upstream in that failure domain at random and lose their sums of demand.
+// the workers of an upstream in that failure domain at random, and their sums of demand
+// would be NaN.
 test('rejects a digest that contains a negative or non-finite value', () => {
   const worker = { workerId: 'w', utilization: 0.5, inFlight: 1, measuredAt: 0, isDraining: false, isHealthy: true, isStarting: false, isProbed: true, hasLoad: true }
   const demand = { service: 's', clientRegion: 'r', concurrency: 1, measuredAt: 0 }
