--- a/packages/adapters/src/node/upstream/attempt.ts
+++ b/packages/adapters/src/node/upstream/attempt.ts
@@ -19,7 +19,7 @@
   readonly path: string
   /** Hop-by-hop headers are removed before sending. */
   readonly headers: Record<string, string | string[]>
-  /** Not read from if the attempt fails with `mayHaveSent` false for a reason other than deadline or signal. */
+  /** Not read from if the attempt fails with {@link AttemptError.mayHaveSent} false for a reason other than deadline or signal. */
   readonly body: Readable | Uint8Array | null
   /** Applies to the whole attempt, including the response body. */
   readonly deadline: Deadline
