--- a/packages/adapters/src/node/upstream/attemptHandler.ts
+++ b/packages/adapters/src/node/upstream/attemptHandler.ts
@@ -20,13 +20,14 @@
   Sent = 'sent',
   /** The response headers have been received. */
   ReceivingResponse = 'answering',
+  /** Completed, failed or cancelled. */
   Finished = 'over'
 }
 
 const INVALID_REQUEST_CODES: ReadonlySet<string> = new Set(['UND_ERR_INVALID_ARG', 'UND_ERR_NOT_SUPPORTED', 'UND_ERR_REQ_CONTENT_LENGTH_MISMATCH'])
 const MIN_FINAL_STATUS = 200
 
-function classifyUnsent (failure: Error): ErrorCode {
+function classifyUnsentFailure (failure: Error): ErrorCode {
   const code = (failure as NodeJS.ErrnoException).code ?? ''
   return INVALID_REQUEST_CODES.has(code) ? ErrorCode.Invalid : ErrorCode.Unavailable
 }
@@ -61,7 +62,7 @@
 
   /** Called by undici immediately before it writes the first byte to a connected socket, never earlier. */
   onRequestStart (controller: Dispatcher.DispatchController): void {
-    // When a socket closes for some internal reasons, undici puts the running request back
+    // When undici closes a socket for a reason of its own, it puts the running request back
     // into its queue. A second start could execute the request twice, so it is aborted.
     if (this.phase !== Phase.Waiting) {
       controller.abort(this.createError(ErrorCode.EffectUnknown, 'the connection closed while the request was in flight'))
@@ -94,7 +95,7 @@
       this.settleFailure(failure)
       return
     }
-    const code = this.phase === Phase.Waiting ? classifyUnsent(failure) : ErrorCode.EffectUnknown
+    const code = this.phase === Phase.Waiting ? classifyUnsentFailure(failure) : ErrorCode.EffectUnknown
     this.settleFailure(this.createError(code, failure.message, failure))
   }
 
--- a/packages/adapters/src/node/upstream/hopByHop.ts
+++ b/packages/adapters/src/node/upstream/hopByHop.ts
@@ -5,6 +5,7 @@
 /** Trailers are not forwarded. `Expect` has already been handled by the listener, and undici rejects it. */
 const REMOVED_HEADERS: ReadonlySet<string> = new Set([...HOP_BY_HOP_HEADERS, 'trailer', 'expect'])
 
+/** Lists the header names in `Connection`, which are hop-by-hop as well. */
 function listConnectionOptions (headers: Readonly<Record<string, string | string[] | undefined>>): string[] {
   const values = Object.entries(headers).flatMap(([name, value]) => name.toLowerCase() === 'connection' ? value ?? [] : [])
   return values.flatMap((value) => value.split(',')).map((name) => name.trim().toLowerCase())
--- a/packages/adapters/src/node/upstream/orca.ts
+++ b/packages/adapters/src/node/upstream/orca.ts
@@ -1,5 +1,6 @@
 /** Parses the load that a worker reports in its responses, in ORCA's `endpoint-load-metrics` header. */
 
+/** Name of the response header, in lower case. */
 export const LOAD_HEADER = 'endpoint-load-metrics'
 
 /** A worker's load when it sent a response. */
--- a/packages/adapters/src/node/upstream/workerConnections.ts
+++ b/packages/adapters/src/node/upstream/workerConnections.ts
@@ -110,7 +110,7 @@
     this.closeClient(client)
   }
 
-  /** The connection counts towards the limit until its socket is closed. */
+  /** The connection counts towards the limit until its socket is closed, so that a new one can't exceed the limit. */
   private closeClient (client: Client): void {
     const removeClient = (): void => { this.openClients.delete(client) }
     client.destroy().then(removeClient, removeClient)
--- a/packages/adapters/test/node/upstream/hostileHeaders.test.ts
+++ b/packages/adapters/test/node/upstream/hostileHeaders.test.ts
@@ -51,8 +51,8 @@
   assert.equal(Buffer.from(String(title?.['x-title']), 'latin1').toString('utf8'), '护照 é €')
   const bytes = fc.uint8Array({ maxLength: 20 })
   const oneByteInText = fc.integer({ min: 0, max: 255 }).map((byte) => Uint8Array.of(97, byte, 98))
-  await fc.assert(fc.asyncProperty(fc.constantFrom('X-Odd: ', ''), fc.oneof(bytes, oneByteInText), async (start, odd) => {
-    const headers = await fetchHeaders(Buffer.concat([Buffer.from(start), odd]))
+  await fc.assert(fc.asyncProperty(fc.constantFrom('X-Odd: ', ''), fc.oneof(bytes, oneByteInText), async (prefix, suffix) => {
+    const headers = await fetchHeaders(Buffer.concat([Buffer.from(prefix), suffix]))
     for (const [name, value] of Object.entries(headers ?? {})) {
       validateHeaderName(name)
       for (const each of [value].flat()) validateHeaderValue(name, each)
--- a/packages/adapters/test/node/upstream/upstreamTransport.test.ts
+++ b/packages/adapters/test/node/upstream/upstreamTransport.test.ts
@@ -149,7 +149,7 @@
 describe('UndiciTransport, cancellation and deadlines', () => {
   it('cancels the request at the worker when the signal is aborted, before and after the headers', async () => {
     for (const hasHeaders of [false, true]) {
-      const aborter = new AbortController()
+      const abortController = new AbortController()
       let onArrival = (): void => {}
       const hasArrived = new Promise<void>((resolve) => { onArrival = resolve })
       let onClose = (): void => {}
@@ -159,13 +159,13 @@
         if (hasHeaders) response.write('part')
         onArrival()
       })
-      const sending = createTransport(address).send(createRequest(address, { signal: aborter.signal }))
+      const sendPromise = createTransport(address).send(createRequest(address, { signal: abortController.signal }))
       await hasArrived
-      if (!hasHeaders) aborter.abort()
-      const sent = await sending
+      if (!hasHeaders) abortController.abort()
+      const sent = await sendPromise
       assert.equal(sent.ok, hasHeaders)
       if (sent.ok) {
-        aborter.abort()
+        abortController.abort()
         await assert.rejects(text(sent.val.body), (error: unknown) => error instanceof AttemptError && error.code === ErrorCode.Cancelled)
       } else {
         assert.deepEqual([sent.val.code, sent.val.mayHaveSent], [ErrorCode.Cancelled, true])
