--- a/packages/adapters/src/node/metrics/statsdMetrics.ts
+++ b/packages/adapters/src/node/metrics/statsdMetrics.ts
@@ -1,29 +1,29 @@
-/** Metrics by StatsD over UDP. */
+/** Sends metrics to StatsD over UDP. */
 import { StatsD } from 'hot-shots'
 import type { ILogger } from '@umberspar/base/common/logger'
 import { LogLevel, NULL_LOGGER } from '@umberspar/base/common/logger'
 import type { IMetrics, MetricTags } from '@umberspar/base/common/metrics'
 
-const PREFIX = 'umberspar.'
-/** Fits one Ethernet frame with its headers. */
+const METRIC_PREFIX = 'umberspar.'
+/** Small enough that a packet with its headers fits into one Ethernet frame. */
 const MAX_PACKET_BYTES = 1400
-const FLUSH_EVERY_MS = 1000
+const FLUSH_INTERVAL_MS = 1000
 
-/** Where measurements go. */
+/** Options of {@link StatsdMetrics}. */
 export interface StatsdMetricsOptions {
   readonly host: string
   readonly port: number
-  /** On every measurement, for example the node's id. */
+  /** Added to every measurement, for example the node id. */
   readonly tags?: MetricTags
   readonly logger?: ILogger
 }
 
-/** An IMetrics over hot-shots; a failure to send is logged once and never thrown. */
+/** Implements {@link IMetrics} with hot-shots. The first failure to send is logged; failures are never thrown. */
 export class StatsdMetrics implements IMetrics {
   private readonly client: StatsD
   private readonly logger: ILogger
   private readonly peer: string
-  private hasFailed = false
+  private hasLoggedFailure = false
   private closing: Promise<void> | undefined
 
   constructor (options: StatsdMetricsOptions) {
@@ -32,11 +32,11 @@
     this.client = new StatsD({
       host: options.host,
       port: options.port,
-      prefix: PREFIX,
+      prefix: METRIC_PREFIX,
       globalTags: { ...options.tags },
       includeDataDogTags: false,
       maxBufferSize: MAX_PACKET_BYTES,
-      bufferFlushInterval: FLUSH_EVERY_MS,
+      bufferFlushInterval: FLUSH_INTERVAL_MS,
       errorHandler: (error) => { this.reportFailure(error) }
     })
   }
@@ -49,11 +49,11 @@
     this.record(() => this.client.gauge(name, value, { ...tags }))
   }
 
-  observe (name: string, spanMs: number, tags?: MetricTags): void {
-    this.record(() => this.client.timing(name, spanMs, { ...tags }))
+  observe (name: string, durationMs: number, tags?: MetricTags): void {
+    this.record(() => this.client.timing(name, durationMs, { ...tags }))
   }
 
-  /** Sends what is buffered, then closes the socket. */
+  /** Sends the buffered measurements, then closes the socket. */
   close (): Promise<void> {
     this.closing ??= new Promise((resolve) => {
       this.client.close((error) => {
@@ -74,8 +74,8 @@
   }
 
   private reportFailure (failure: unknown): void {
-    if (this.hasFailed) return
-    this.hasFailed = true
+    if (this.hasLoggedFailure) return
+    this.hasLoggedFailure = true
     const message = failure instanceof Error ? failure.message : String(failure)
     this.logger.log(LogLevel.Warn, { step: 'send-metrics', peer: this.peer }, message)
   }
--- a/packages/adapters/src/node/peers/peerServer.ts
+++ b/packages/adapters/src/node/peers/peerServer.ts
@@ -1,4 +1,4 @@
-/** The peers' listener of a daemon: the Peer service over gRPC. */
+/** Serves the Peer service of a daemon over gRPC. */
 import { Readable } from 'node:stream'
 import type { Writable } from 'node:stream'
 import { Metadata, Server, ServerCredentials, status } from '@grpc/grpc-js'
@@ -18,9 +18,9 @@
 import { decodeDigest, decodeLoanRequest, encodeDigest, encodeLoanAnswer } from './peerMessages.js'
 
 const LISTEN_STEP = 'listen-for-peers'
-const ANSWER_STEP = 'answer-peer'
-/** How long calls may go on after `close`; then they are cut. */
-const CLOSE_SPAN_MS = 1000
+const HANDLE_CALL_STEP = 'answer-peer'
+/** How long running calls may continue after `close` before they are aborted. */
+const SHUTDOWN_GRACE_MS = 1000
 
 const STATUS_BY_CODE: Readonly<Record<ErrorCode, status>> = {
   [ErrorCode.Invalid]: status.INVALID_ARGUMENT,
@@ -35,18 +35,18 @@
   [ErrorCode.Internal]: status.INTERNAL
 }
 
-/** What a PeerServer needs. */
+/** Options of {@link PeerServer}. */
 export interface PeerServerOptions {
-  /** `host:port`; port 0 takes a free one. */
+  /** `host:port`; port 0 selects a free port. */
   readonly address: string
   readonly service: IPeerService
   readonly clock: IClock
   readonly logger: ILogger
-  /** For mutual TLS; plain text if left out. */
+  /** For mutual TLS; without it, connections are plain text. */
   readonly credentials?: ServerCredentials | undefined
 }
 
-/** Answers peers by an IPeerService. */
+/** Handles the calls of peers with an {@link IPeerService}. */
 export class PeerServer implements IClosable {
   private readonly server = new Server()
   private readonly service: IPeerService
@@ -59,7 +59,7 @@
     this.server.addService(PeerService, this.buildHandlers())
   }
 
-  /** @returns the bound port, once peers can connect */
+  /** @returns the port, once peers can connect; an error if the address can't be bound */
   listen (): Promise<Result<number, StepError>> {
     const { address, credentials } = this.options
     return new Promise((resolve) => {
@@ -70,10 +70,10 @@
     })
   }
 
-  /** Lets running calls finish for a second, then cuts them. */
+  /** Stops accepting calls and waits for running ones; those that still run after one second are aborted. */
   close (): Promise<void> {
     this.closing ??= new Promise((resolve) => {
-      const timer = this.clock.schedule(createDeadline(this.clock.now(), CLOSE_SPAN_MS), () => { this.server.forceShutdown() })
+      const timer = this.clock.schedule(createDeadline(this.clock.now(), SHUTDOWN_GRACE_MS), () => { this.server.forceShutdown() })
       this.server.tryShutdown(() => {
         timer.close()
         resolve()
@@ -85,17 +85,17 @@
   private buildHandlers (): wire.PeerServer {
     return {
       exchange: (call: ServerUnaryCall<wire.Digest, wire.Digest>, callback: sendUnaryData<wire.Digest>) => {
-        this.answerUnary(call, callback, (request, now) => encodeDigest(this.service.exchange(decodeDigest(request, now, call.getPeer())), now))
+        this.handleUnary(call, callback, (request, now) => encodeDigest(this.service.exchange(decodeDigest(request, now, call.getPeer())), now))
       },
-      fetch: (call: ServerWritableStream<wire.DocumentRequest, wire.DocumentChunk>) => { this.answerFetch(call) },
+      fetch: (call: ServerWritableStream<wire.DocumentRequest, wire.DocumentChunk>) => { this.handleFetch(call) },
       push: (call: ServerReadableStream<wire.DocumentChunk, wire.PushAnswer>, callback: sendUnaryData<wire.PushAnswer>) => {
-        this.answerPush(call, callback)
+        this.handlePush(call, callback)
       },
       borrow: (call: ServerUnaryCall<wire.LoanRequest, wire.LoanAnswer>, callback: sendUnaryData<wire.LoanAnswer>) => {
-        this.answerUnary(call, callback, (request, now) => encodeLoanAnswer(this.service.borrow(decodeLoanRequest(request, now)), now))
+        this.handleUnary(call, callback, (request, now) => encodeLoanAnswer(this.service.borrow(decodeLoanRequest(request, now)), now))
       },
       return: (call: ServerUnaryCall<wire.LoanReturn, wire.LoanReturnAnswer>, callback: sendUnaryData<wire.LoanReturnAnswer>) => {
-        this.answerUnary(call, callback, (request) => {
+        this.handleUnary(call, callback, (request) => {
           this.service.returnLoan(request)
           return {}
         })
@@ -103,42 +103,42 @@
     }
   }
 
-  private answerUnary<Q, S> (call: ServerUnaryCall<Q, S>, callback: sendUnaryData<S>, answer: (request: Q, now: number) => S): void {
+  private handleUnary<TRequest, TResponse> (call: ServerUnaryCall<TRequest, TResponse>, callback: sendUnaryData<TResponse>, createResponse: (request: TRequest, now: number) => TResponse): void {
     try {
-      callback(null, answer(call.request, this.clock.now()))
+      callback(null, createResponse(call.request, this.clock.now()))
     } catch (thrown) {
-      callback(this.toStatus(thrown, call.getPeer()))
+      callback(this.toServiceError(thrown, call.getPeer()))
     }
   }
 
-  private answerFetch (call: ServerWritableStream<wire.DocumentRequest, wire.DocumentChunk>): void {
+  private handleFetch (call: ServerWritableStream<wire.DocumentRequest, wire.DocumentChunk>): void {
     const { name, aboveVersion } = call.request
     try {
       const document = this.service.fetch(name, Number(aboveVersion))
       const chunks = Readable.from(document === undefined ? [] : splitDocument(document))
-      // A peer that leaves in the middle must not leave the rest of the document waiting.
+      // If the peer cancels midway, the remaining chunks must not stay in memory.
       call.on('cancelled', () => { chunks.destroy() })
       chunks.pipe(call as unknown as Writable)
     } catch (thrown) {
-      call.emit('error', this.toStatus(thrown, call.getPeer()))
+      call.emit('error', this.toServiceError(thrown, call.getPeer()))
     }
   }
 
-  private async answerPush (call: ServerReadableStream<wire.DocumentChunk, wire.PushAnswer>, callback: sendUnaryData<wire.PushAnswer>): Promise<void> {
+  private async handlePush (call: ServerReadableStream<wire.DocumentChunk, wire.PushAnswer>, callback: sendUnaryData<wire.PushAnswer>): Promise<void> {
     const peer = call.getPeer()
     try {
       const assembler = new DocumentAssembler(peer)
       for await (const chunk of call) assembler.add(chunk as wire.DocumentChunk)
       const document = assembler.build()
-      if (document === undefined) throw new StepError({ code: ErrorCode.Invalid, step: ANSWER_STEP, peer, message: 'no chunk came' })
+      if (document === undefined) throw new StepError({ code: ErrorCode.Invalid, step: HANDLE_CALL_STEP, peer, message: 'the document has no chunks' })
       callback(null, { version: BigInt(await this.service.push(document)) })
     } catch (thrown) {
-      callback(this.toStatus(thrown, peer))
+      callback(this.toServiceError(thrown, peer))
     }
   }
 
-  private toStatus (thrown: unknown, peer: string): ServiceError {
-    const error = toStepError(thrown, ANSWER_STEP, peer)
+  private toServiceError (thrown: unknown, peer: string): ServiceError {
+    const error = toStepError(thrown, HANDLE_CALL_STEP, peer)
     logError(this.options.logger, LogLevel.Warn, error)
     return Object.assign(new Error(error.message), { code: STATUS_BY_CODE[error.code], details: error.message, metadata: new Metadata() })
   }
--- a/packages/adapters/src/node/tls/tlsKeeper.ts
+++ b/packages/adapters/src/node/tls/tlsKeeper.ts
@@ -1,4 +1,4 @@
-/** Keeps one section's certificates and takes over renewed ones without a restart. */
+/** Holds the certificates of one `tls` section of the settings and replaces them without a restart. */
 import type { experimental } from '@grpc/grpc-js'
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -12,84 +12,85 @@
 type CaListener = experimental.CaCertificateUpdateListener
 type IdentityListener = experimental.IdentityCertificateUpdateListener
 
-/** What a TlsKeeper needs. */
+/** Options of {@link TlsKeeper}. */
 export interface TlsKeeperOptions {
   /** The section's path in the settings, for example `peers.tls`. */
   readonly section: string
   readonly files: TlsFiles
-  /** The name expected in the other side's certificate, in place of its address. */
+  /** The name expected in the peer's certificate instead of its address. */
   readonly serverName?: string | undefined
   readonly clock: IClock
   readonly logger: ILogger
 }
 
 /**
- * One section's certificates. It is a certificate provider for gRPC, whose
- * servers and channels then use the current certificates for new connections.
+ * Provides the certificates of one `tls` section. As a gRPC certificate provider, it makes
+ * gRPC servers and channels use the current certificates for new connections.
  */
 export class TlsKeeper implements IClosable, experimental.CertificateProvider {
-  private readonly didChange = new Emitter<TlsMaterial>()
+  private readonly changeEmitter = new Emitter<TlsMaterial>()
   private readonly caListeners = new Set<CaListener>()
   private readonly identityListeners = new Set<IdentityListener>()
-  private context: SecureContext | undefined
-  private reading: Promise<boolean> | undefined
+  private secureContext: SecureContext | undefined
+  private pendingRenewal: Promise<boolean> | undefined
 
-  /** Fires after renewed certificates were taken over. */
-  readonly onDidChange = this.didChange.event
+  /** Fires after the certificates have been replaced by renewed ones. */
+  readonly onDidChange = this.changeEmitter.event
 
   private constructor (private readonly options: TlsKeeperOptions, private material: TlsMaterial) {}
 
   /**
-   * @param options section and files
-   * @returns a keeper with checked certificates, or why the files can't be used
+   * Reads and checks the files of a section.
+   * @param options section, files and other options
+   * @returns a provider of the certificates, or an error if the files can't be used
    */
   static async load (options: TlsKeeperOptions): Promise<Result<TlsKeeper, StepError>> {
     const loaded = await loadTlsMaterial(options.section, options.files, options.clock.getWallTime())
     if (!loaded.ok) return loaded
-    const keeper = new TlsKeeper(options, loaded.val)
-    keeper.logMaterial('certificates loaded')
-    return new Ok(keeper)
+    const provider = new TlsKeeper(options, loaded.val)
+    provider.logMaterial('certificates loaded')
+    return new Ok(provider)
   }
 
-  /** The certificates in use. */
+  /** The current certificates. */
   get current (): TlsMaterial {
     return this.material
   }
 
-  /** The name expected in the other side's certificate; undefined: its address. */
+  /** The name expected in the peer's certificate; if undefined, its address is expected. */
   get serverName (): string | undefined {
     return this.options.serverName
   }
 
-  /** Whether a CA is given, so that the other side has to show a certificate of it. */
+  /** Whether a CA is configured, so that peers must present a certificate issued by it. */
   get hasCa (): boolean {
     return this.material.ca !== undefined
   }
 
   /**
-   * Parsing certificates anew is about a sixth of a connection's cost; all
-   * connections until the next renewal share one context.
-   * @returns the certificates as connections use them
+   * Parsing the certificates is about a sixth of the cost of a new connection, so all
+   * connections share one context until the next renewal.
+   * @returns a context with the current certificates
    */
   getSecureContext (): SecureContext {
-    this.context ??= createSecureContext(toContextOptions(this.material))
-    return this.context
+    this.secureContext ??= createSecureContext(toContextOptions(this.material))
+    return this.secureContext
   }
 
   /**
-   * Reads the files again. Calls that come while they are read share that read.
-   * @returns whether renewed certificates were taken over
+   * Reads the files again. Calls made while they are being read share that read.
+   * @returns whether the certificates have been replaced
    */
   renew (): Promise<boolean> {
-    this.reading ??= this.readAgain().finally(() => { this.reading = undefined })
-    return this.reading
+    this.pendingRenewal ??= this.loadRenewed().finally(() => { this.pendingRenewal = undefined })
+    return this.pendingRenewal
   }
 
   addCaCertificateListener (listener: CaListener): void {
     this.caListeners.add(listener)
-    // gRPC registers its own watcher only after this call; told at once, the
-    // update would reach nobody and its server would drop every connection.
-    queueMicrotask(() => { if (this.caListeners.has(listener)) this.sendCa(listener) })
+    // gRPC registers its own watcher only after this call. A synchronous update would be
+    // lost, and the gRPC server would drop every connection.
+    queueMicrotask(() => { if (this.caListeners.has(listener)) this.sendCaUpdate(listener) })
   }
 
   removeCaCertificateListener (listener: CaListener): void {
@@ -98,7 +99,7 @@
 
   addIdentityCertificateListener (listener: IdentityListener): void {
     this.identityListeners.add(listener)
-    queueMicrotask(() => { if (this.identityListeners.has(listener)) this.sendIdentity(listener) })
+    queueMicrotask(() => { if (this.identityListeners.has(listener)) this.sendIdentityUpdate(listener) })
   }
 
   removeIdentityCertificateListener (listener: IdentityListener): void {
@@ -106,39 +107,39 @@
   }
 
   close (): void {
-    this.didChange.close()
+    this.changeEmitter.close()
     this.caListeners.clear()
     this.identityListeners.clear()
   }
 
   /**
-   * A renewal that is half written (the certificate is new, the key still old),
-   * truncated or ended would leave the daemon unable to speak to anybody. It is
-   * checked whole first; the old certificates stay until a check succeeds.
+   * Files that are partly written (a new certificate with the old key), truncated or
+   * expired would leave the daemon unable to open any connection. Therefore all files are
+   * checked first, and the old certificates stay in use until a check succeeds.
    */
-  private async readAgain (): Promise<boolean> {
+  private async loadRenewed (): Promise<boolean> {
     const { section, files, clock, logger } = this.options
     const loaded = await loadTlsMaterial(section, files, clock.getWallTime())
     if (!loaded.ok) {
       logError(logger, LogLevel.Error, loaded.val)
       return false
     }
-    if (isSame(loaded.val, this.material)) return false
+    if (isSameMaterial(loaded.val, this.material)) return false
     this.material = loaded.val
-    this.context = undefined
+    this.secureContext = undefined
     this.logMaterial('certificates renewed')
-    for (const listener of this.caListeners) this.sendCa(listener)
-    for (const listener of this.identityListeners) this.sendIdentity(listener)
-    this.didChange.fire(loaded.val)
+    for (const listener of this.caListeners) this.sendCaUpdate(listener)
+    for (const listener of this.identityListeners) this.sendIdentityUpdate(listener)
+    this.changeEmitter.fire(loaded.val)
     return true
   }
 
-  private sendCa (listener: CaListener): void {
+  private sendCaUpdate (listener: CaListener): void {
     const { ca } = this.material
     listener(ca === undefined ? null : { caCertificate: ca })
   }
 
-  private sendIdentity (listener: IdentityListener): void {
+  private sendIdentityUpdate (listener: IdentityListener): void {
     const { certificate, key } = this.material
     listener(certificate === undefined || key === undefined ? null : { certificate, privateKey: key })
   }
@@ -150,11 +151,11 @@
   }
 }
 
-function isSame (one: TlsMaterial, other: TlsMaterial): boolean {
-  return isEqual(one.certificate, other.certificate) && isEqual(one.key, other.key) && isEqual(one.ca, other.ca)
+function isSameMaterial (one: TlsMaterial, other: TlsMaterial): boolean {
+  return isSameContent(one.certificate, other.certificate) && isSameContent(one.key, other.key) && isSameContent(one.ca, other.ca)
 }
 
-function isEqual (one: Buffer | undefined, other: Buffer | undefined): boolean {
+function isSameContent (one: Buffer | undefined, other: Buffer | undefined): boolean {
   if (one === undefined || other === undefined) return one === other
   return one.equals(other)
 }
--- a/packages/adapters/src/node/upstream/hopByHop.ts
+++ b/packages/adapters/src/node/upstream/hopByHop.ts
@@ -1,26 +1,27 @@
-/** Headers that concern one connection only (RFC 9110, section 7.6.1) and are never passed on. */
+/** Removes the headers that apply to a single connection and must not be forwarded (RFC 9110, section 7.6.1). */
 import { HOP_BY_HOP_HEADERS } from '@umberspar/steering/common/request/headers'
 import type { HeaderMap } from './attempt.js'
 
-/** Trailers are not passed on; `Expect` was answered by our listener, and undici refuses it. */
-const NEVER_SENT: ReadonlySet<string> = new Set([...HOP_BY_HOP_HEADERS, 'trailer', 'expect'])
+/** Trailers are not forwarded. `Expect` has already been handled by the listener, and undici rejects it. */
+const REMOVED_HEADERS: ReadonlySet<string> = new Set([...HOP_BY_HOP_HEADERS, 'trailer', 'expect'])
 
-function listNominated (headers: Readonly<Record<string, string | string[] | undefined>>): string[] {
+/** Lists the header names in `Connection`, which are hop-by-hop as well. */
+function listConnectionOptions (headers: Readonly<Record<string, string | string[] | undefined>>): string[] {
   const values = Object.entries(headers).flatMap(([name, value]) => name.toLowerCase() === 'connection' ? value ?? [] : [])
   return values.flatMap((value) => value.split(',')).map((name) => name.trim().toLowerCase())
 }
 
 /**
- * @param headers names in any case; `undefined` values are dropped
- * @returns the headers that belong to the message itself, names in lower case
+ * @param headers headers with names in any case; `undefined` values are dropped
+ * @returns the end-to-end headers, with names in lower case
  */
-export function removeHopByHop (headers: Readonly<Record<string, string | string[] | undefined>>): HeaderMap {
+export function removeHopByHopHeaders (headers: Readonly<Record<string, string | string[] | undefined>>): HeaderMap {
   const kept: HeaderMap = {}
-  const nominated = new Set(listNominated(headers))
+  const connectionOptions = new Set(listConnectionOptions(headers))
   for (const [name, value] of Object.entries(headers)) {
-    const key = name.toLowerCase()
-    if (value === undefined || NEVER_SENT.has(key) || nominated.has(key)) continue
-    kept[key] = value
+    const lowerCaseName = name.toLowerCase()
+    if (value === undefined || REMOVED_HEADERS.has(lowerCaseName) || connectionOptions.has(lowerCaseName)) continue
+    kept[lowerCaseName] = value
   }
   return kept
 }
--- a/packages/adapters/src/node/upstream/workerProbe.ts
+++ b/packages/adapters/src/node/upstream/workerProbe.ts
@@ -1,4 +1,4 @@
-/** Reads a worker's health and load endpoints. */
+/** Requests the health and load endpoints of workers. */
 import type { Readable } from 'node:stream'
 import { z } from 'zod'
 import type { Deadline } from '@umberspar/base/common/deadline'
@@ -12,10 +12,10 @@
 const HEALTH_PATH = '/health'
 const LOAD_PATH = '/load'
 const STATUS_OK = 200
-/** More than any probe's answer needs; a worker that sends more is not believed. */
-const MAX_BODY_BYTES = 65_536
+/** Far larger than any valid response; a longer one is rejected as invalid. */
+const MAX_PROBE_BODY_BYTES = 65_536
 
-/** What a worker says of its state. */
+/** The states that a worker can report. */
 enum WorkerState {
   Ready = 'ready',
   Starting = 'starting',
@@ -27,11 +27,11 @@
 
 async function readBody (body: Readable): Promise<string> {
   const chunks: Buffer[] = []
-  let size = 0
+  let sizeBytes = 0
   for await (const chunk of body) {
     const bytes = chunk as Buffer
-    size += bytes.byteLength
-    if (size > MAX_BODY_BYTES) throw new Error(`the answer exceeds ${MAX_BODY_BYTES} bytes`)
+    sizeBytes += bytes.byteLength
+    if (sizeBytes > MAX_PROBE_BODY_BYTES) throw new Error(`the response exceeds ${MAX_PROBE_BODY_BYTES} bytes`)
     chunks.push(bytes)
   }
   return Buffer.concat(chunks).toString('utf8')
@@ -47,23 +47,23 @@
   }
 }
 
-interface ProbeAnswer<T> {
+interface ProbeResponse<T> {
   readonly status: number
   readonly value: T
 }
 
-/** Reads a worker's endpoints over a transport; when to do so is its caller's matter. */
+/** Sends probes over a transport; callers decide when to probe. */
 export class ProbeReader {
   constructor (private readonly transport: Pick<IUpstreamTransport, 'send'>) {}
 
   /**
-   * @param address the worker
-   * @param deadline by when all answers must have come
-   * @param scope what to ask for
-   * @returns what the worker says of itself
+   * @param address `host:port` of the worker
+   * @param deadline when all responses must have been received
+   * @param scope the endpoints to request
+   * @returns the worker's state; an error if it does not respond or its response is invalid
    */
-  async fetch (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>> {
-    const health = await this.fetchAnswer(address, HEALTH_PATH, healthSchema, deadline)
+  async fetchProbe (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>> {
+    const health = await this.fetchJson(address, HEALTH_PATH, healthSchema, deadline)
     if (health.err) return health
     const load = await this.fetchLoad(address, deadline, scope)
     if (load.err) return load
@@ -78,11 +78,11 @@
 
   private async fetchLoad (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<ProbedLoad | undefined, StepError>> {
     if (scope === ProbeScope.Health) return Ok(undefined)
-    const load = await this.fetchAnswer(address, LOAD_PATH, loadSchema, deadline)
+    const load = await this.fetchJson(address, LOAD_PATH, loadSchema, deadline)
     return load.err ? load : Ok(load.val.value)
   }
 
-  private async fetchAnswer<T> (address: string, path: string, schema: z.ZodType<T>, deadline: Deadline): Promise<Result<ProbeAnswer<T>, StepError>> {
+  private async fetchJson<T> (address: string, path: string, schema: z.ZodType<T>, deadline: Deadline): Promise<Result<ProbeResponse<T>, StepError>> {
     const signal = new AbortController().signal
     const sent = await this.transport.send({ workerId: address, address, method: 'GET', path, headers: {}, body: null, deadline, signal })
     if (sent.err) return sent
