--- a/packages/cli/src/common/burnFormat.ts
+++ b/packages/cli/src/common/burnFormat.ts
@@ -71,14 +71,14 @@
   }
 }
 
-function formatPercent (part: number): string {
-  return `${(part * 100).toFixed(3)}%`
+function formatPercent (ratio: number): string {
+  return `${(ratio * 100).toFixed(3)}%`
 }
 
 function formatRow (name: string, report: ServiceBurnReport): readonly string[] {
   const windows = BURN_WINDOWS.flatMap((window) => {
-    const figures = report.windows[window]
-    return [formatPercent(figures.errorRate), figures.burnRate.toFixed(2)]
+    const windowReport = report.windows[window]
+    return [formatPercent(windowReport.errorRate), windowReport.burnRate.toFixed(2)]
   })
   const objective = `${formatPercent(report.objective.target)} in ${report.objective.latencyMs} ms`
   return [name, objective, ...windows, formatPercent(report.errorBudgetLeft)]
--- a/packages/cli/src/common/configFormat.ts
+++ b/packages/cli/src/common/configFormat.ts
@@ -49,7 +49,7 @@
  */
 export function formatConfigurationStatus (status: ConfigurationStatus): string {
   const { nodes, highestVersion } = status
-  const inForce = nodes.filter((node) => node.hasAnswered && node.configurationVersion === highestVersion).length
+  const inForceCount = nodes.filter((node) => node.hasAnswered && node.configurationVersion === highestVersion).length
   const rows = nodes.map((node) => [
     node.nodeId, node.region, node.failureDomain, node.state,
     String(node.configurationVersion), node.hasAnswered ? 'yes' : 'no'
@@ -58,7 +58,7 @@
     { title: 'NODE' }, { title: 'REGION' }, { title: 'FAILURE DOMAIN' }, { title: 'STATE' },
     { title: 'VERSION', align: Align.Right }, { title: 'ANSWERED' }
   ]
-  return `version ${highestVersion} is in force at ${inForce} of ${nodes.length} nodes\n${formatTable(columns, rows)}`
+  return `version ${highestVersion} is in force at ${inForceCount} of ${nodes.length} nodes\n${formatTable(columns, rows)}`
 }
 
 /**
--- a/packages/cli/src/common/drainPrediction.ts
+++ b/packages/cli/src/common/drainPrediction.ts
@@ -13,9 +13,9 @@
   readonly totalMs: number
 }
 
-const PERCENT = 100
+const PERCENT_PER_UNIT = 100
 
-function toRows (value: unknown): Array<Record<string, unknown>> {
+function toObjects (value: unknown): Array<Record<string, unknown>> {
   return Array.isArray(value) ? value.filter((row): row is Record<string, unknown> => isJsonObject(row)) : []
 }
 
@@ -28,9 +28,9 @@
   return {
     fits: value.fits,
     totalMs: value.totalMs,
-    reasons: toRows(value.reasons).map(({ message }) => String(message)),
-    steps: toRows(value.steps).map(({ service, afterMs, shift }) => ({ service: String(service), afterMs: Number(afterMs), shift: Number(shift) })),
-    places: toRows(value.places).map((row) => ({
+    reasons: toObjects(value.reasons).map(({ message }) => String(message)),
+    steps: toObjects(value.steps).map(({ service, afterMs, shift }) => ({ service: String(service), afterMs: Number(afterMs), shift: Number(shift) })),
+    places: toObjects(value.places).map((row) => ({
       service: String(row.service),
       failureDomain: String(row.failureDomain),
       capacity: Number(row.capacity),
@@ -41,13 +41,13 @@
   }
 }
 
-function formatPart (part: number): string {
-  return `${(part * PERCENT).toFixed(0)} %`
+function formatPercent (ratio: number): string {
+  return `${(ratio * PERCENT_PER_UNIT).toFixed(0)} %`
 }
 
 function formatSteps (prediction: DrainPrediction): string {
   const columns = [{ title: 'AFTER', align: Align.Right }, { title: 'SERVICE' }, { title: 'MOVES', align: Align.Right }]
-  return formatTable(columns, prediction.steps.map(({ afterMs, service, shift }) => [`${afterMs} ms`, service, formatPart(shift)]))
+  return formatTable(columns, prediction.steps.map(({ afterMs, service, shift }) => [`${afterMs} ms`, service, formatPercent(shift)]))
 }
 
 function formatPlaces (prediction: DrainPrediction): string {
@@ -57,7 +57,7 @@
   ]
   return formatTable(columns, prediction.places.map((place) => [
     place.service, place.failureDomain, String(place.capacity), place.loadBefore.toFixed(1), place.loadAfter.toFixed(1),
-    place.capacity === 0 ? 'drained' : formatPart(place.headroom)
+    place.capacity === 0 ? 'drained' : formatPercent(place.headroom)
   ]))
 }
 
@@ -66,7 +66,7 @@
  * @returns text for operators
  */
 export function formatPrediction (prediction: DrainPrediction): string {
-  const verdict = prediction.fits ? `it fits; about ${prediction.totalMs} ms, plus requests that run longer` : 'it does not fit the present demand:'
+  const summary = prediction.fits ? `it fits; about ${prediction.totalMs} ms, plus requests that run longer` : 'it does not fit the present demand:'
   const steps = prediction.steps.length === 0 ? 'no traffic would move' : formatSteps(prediction)
-  return [verdict, ...prediction.reasons.map((reason) => `  ${reason}`), steps, formatPlaces(prediction)].join('\n')
+  return [summary, ...prediction.reasons.map((reason) => `  ${reason}`), steps, formatPlaces(prediction)].join('\n')
 }
--- a/packages/cli/src/common/drainProgress.ts
+++ b/packages/cli/src/common/drainProgress.ts
@@ -31,7 +31,7 @@
  * may still be sending to the target although this client can't reach it, so
  * it keeps the target from being called safe to stop.
  */
-const STATES_NOT_COUNTED_ON: ReadonlySet<string> = new Set(['suspected', 'gone'])
+const EXCLUDED_STATES: ReadonlySet<string> = new Set(['suspected', 'gone'])
 
 const IS_DONE_BY_DIRECTION: Readonly<Record<DrainDirection, (drain: NodeDrain | undefined) => boolean>> = {
   // A node that does not list the drain has not adopted it yet and still sends.
@@ -40,25 +40,25 @@
 }
 
 /** What is waited for. */
-export interface DrainWait {
+export interface DrainWaitOptions {
   readonly target: DrainTarget
   readonly direction: DrainDirection
   /** The operator vouches that nodes without an answer send nothing. */
-  readonly mayLackNodes: boolean
+  readonly isUnreachableAllowed: boolean
 }
 
-function isHeldUpBy (node: FleetNode, wait: DrainWait): boolean {
-  return !wait.mayLackNodes && !STATES_NOT_COUNTED_ON.has(node.state)
+function isBlockedBy (node: FleetNode, options: DrainWaitOptions): boolean {
+  return !options.isUnreachableAllowed && !EXCLUDED_STATES.has(node.state)
 }
 
 /**
- * @param wait what is waited for
+ * @param options what is waited for
  * @param answers one for each node of the fleet
  * @returns the sum over the fleet
  */
-export function computeDrainProgress (wait: DrainWait, answers: readonly NodeDrains[]): DrainProgress {
-  const { target, direction } = wait
-  const name = getTargetName(target)
+export function computeDrainProgress (options: DrainWaitOptions, answers: readonly NodeDrains[]): DrainProgress {
+  const { target, direction } = options
+  const targetName = getTargetName(target)
   const unreachable: string[] = []
   const waitingFor: string[] = []
   let nodesDone = 0
@@ -67,10 +67,10 @@
   for (const { node, drains } of answers) {
     if (drains === undefined) {
       unreachable.push(node.nodeId)
-      if (isHeldUpBy(node, wait)) waitingFor.push(node.nodeId)
+      if (isBlockedBy(node, options)) waitingFor.push(node.nodeId)
       continue
     }
-    const drain = drains.find((item) => item.kind === target.kind && item.target === name)
+    const drain = drains.find((item) => item.kind === target.kind && item.target === targetName)
     largestWeight = Math.max(largestWeight, drain?.weight ?? 0)
     inFlight += drain?.inFlight ?? 0
     if (IS_DONE_BY_DIRECTION[direction](drain)) nodesDone += 1
--- a/packages/cli/src/common/drainTarget.ts
+++ b/packages/cli/src/common/drainTarget.ts
@@ -62,7 +62,7 @@
   return getElementName(getElement(target))
 }
 
-const BUILD_BY_DIRECTION: Readonly<Record<DrainDirection, (others: readonly DrainElement[], element: DrainElement) => readonly DrainElement[]>> = {
+const BUILD_ELEMENTS_BY_DIRECTION: Readonly<Record<DrainDirection, (others: readonly DrainElement[], element: DrainElement) => readonly DrainElement[]>> = {
   [DrainDirection.Drain]: (others, element) => [...others, element],
   [DrainDirection.Undrain]: (others) => others
 }
@@ -80,9 +80,9 @@
   const drains = isJsonObject(body.drains) ? body.drains : {}
   const field = FIELD_BY_KIND[target.kind]
   const present = DECODE_BY_KIND[target.kind](drains[field])
-  const name = getTargetName(target)
-  const others = present.filter((element) => getElementName(element) !== name)
+  const targetName = getTargetName(target)
+  const others = present.filter((element) => getElementName(element) !== targetName)
   const isDrained = others.length < present.length
   if (isDrained === (direction === DrainDirection.Drain)) return undefined
-  return { drains: { [field]: BUILD_BY_DIRECTION[direction](others, getElement(target)) } }
+  return { drains: { [field]: BUILD_ELEMENTS_BY_DIRECTION[direction](others, getElement(target)) } }
 }
--- a/packages/cli/src/common/exitCode.ts
+++ b/packages/cli/src/common/exitCode.ts
@@ -20,7 +20,7 @@
   NotYet = 7
 }
 
-const EXIT_CODE_BY_ERROR: Readonly<Record<ErrorCode, ExitCode>> = {
+const EXIT_CODE_BY_ERROR_CODE: Readonly<Record<ErrorCode, ExitCode>> = {
   [ErrorCode.Invalid]: ExitCode.Refused,
   [ErrorCode.NotFound]: ExitCode.Refused,
   [ErrorCode.Refused]: ExitCode.Refused,
@@ -38,5 +38,5 @@
  * @returns the exit code that reports it
  */
 export function getExitCode (code: ErrorCode): ExitCode {
-  return EXIT_CODE_BY_ERROR[code]
+  return EXIT_CODE_BY_ERROR_CODE[code]
 }
--- a/packages/cli/src/common/explainRequest.ts
+++ b/packages/cli/src/common/explainRequest.ts
@@ -54,51 +54,51 @@
  * of any length can be read.
  */
 export class RequestExplainer {
-  private readonly own: LogLine[] = []
-  private readonly beliefs: LogLine[] = []
+  private readonly requestLines: LogLine[] = []
+  private readonly stateLines: LogLine[] = []
 
   /** @param requestId whose history is told */
   constructor (private readonly requestId: string) {}
 
   /** @param line the next line, of any VM, in any order among VMs */
   add (line: LogLine): void {
-    if (line.fields.requestId === this.requestId) this.own.push(line)
-    else if (BELIEF_STEPS.has(line.step)) this.beliefs.push(line)
+    if (line.fields.requestId === this.requestId) this.requestLines.push(line)
+    else if (STATE_STEPS.has(line.step)) this.stateLines.push(line)
   }
 
   /** @returns the history; without steps if no line names the request */
   explain (): Explanation {
-    this.own.sort(compareLogLines)
-    this.beliefs.sort(compareLogLines)
+    this.requestLines.sort(compareLogLines)
+    this.stateLines.sort(compareLogLines)
     return {
       requestId: this.requestId,
-      steps: this.own.map((line) => this.explainStep(line)),
+      steps: this.requestLines.map((line) => this.explainStep(line)),
       conclusion: this.getConclusion()
     }
   }
 
   private explainStep (line: LogLine): ExplainedStep {
     const worker = line.fields.worker ?? line.fields.peer
-    const before = this.beliefs.filter((belief) => belief.node === line.node && belief.sequence < line.sequence)
+    const earlierLines = this.stateLines.filter((stateLine) => stateLine.node === line.node && stateLine.sequence < line.sequence)
     return {
       line,
-      worker: before.findLast(({ fields }) => typeof worker === 'string' && fields.subject === worker),
-      configuration: before.findLast(({ fields }) => fields.change === 'document-adopted'),
-      store: before.findLast(({ step }) => step === 'follow-store'),
-      source: before.findLast(({ step }) => step === 'choose-source')
+      worker: earlierLines.findLast(({ fields }) => typeof worker === 'string' && fields.subject === worker),
+      configuration: earlierLines.findLast(({ fields }) => fields.change === 'document-adopted'),
+      store: earlierLines.findLast(({ step }) => step === 'follow-store'),
+      source: earlierLines.findLast(({ step }) => step === 'choose-source')
     }
   }
 
   private getConclusion (): string {
-    const end = this.own.findLast(({ step }) => step === 'end-request')
-    if (end === undefined) return this.own.length === 0 ? 'No line names this request: it reached no entry VM, or its lines were dropped.' : 'It has not ended, or its process was killed before it did.'
+    const end = this.requestLines.findLast(({ step }) => step === 'end-request')
+    if (end === undefined) return this.requestLines.length === 0 ? 'No line names this request: it reached no entry VM, or its lines were dropped.' : 'It has not ended, or its process was killed before it did.'
     const conclusion = CONCLUSION_BY_REASON[String(end.fields.reason)] ?? `It ended as ${String(end.fields.end)}.`
     const isLate = Number(end.fields.spanMs) > Number(end.fields.goalMs)
     return isLate ? `${conclusion} It took ${String(end.fields.spanMs)} ms where ${String(end.fields.goalMs)} ms are the goal: compare expectedMs, waitMs and handChance of its offers.` : conclusion
   }
 }
 
-const BELIEF_STEPS: ReadonlySet<string> = new Set(['update-view', 'follow-store', 'choose-source'])
+const STATE_STEPS: ReadonlySet<string> = new Set(['update-view', 'follow-store', 'choose-source'])
 
 function formatFields (fields: Readonly<Record<string, unknown>>): string {
   return Object.entries(fields)
@@ -107,9 +107,9 @@
     .join(' ')
 }
 
-function formatBelief (name: string, line: LogLine | undefined, at: number): string {
+function formatState (name: string, line: LogLine | undefined, requestTime: number): string {
   if (line === undefined) return `    ${name}: nothing told before`
-  return `    ${name}: ${line.message}, ${formatFields(line.fields)}, told ${at - line.time} ms earlier`
+  return `    ${name}: ${line.message}, ${formatFields(line.fields)}, told ${requestTime - line.time} ms earlier`
 }
 
 /**
@@ -120,9 +120,9 @@
   const lines = [`request ${requestId}`]
   for (const { line, worker, configuration, store, source } of steps) {
     lines.push(`${new Date(line.time).toISOString()} ${line.node} ${line.message} (${line.step})`, `    ${formatFields(line.fields)}`)
-    lines.push(formatBelief('configuration', configuration, line.time), formatBelief('store', store, line.time))
-    if (source !== undefined) lines.push(formatBelief('records', source, line.time))
-    if (worker !== undefined) lines.push(formatBelief('worker', worker, line.time))
+    lines.push(formatState('configuration', configuration, line.time), formatState('store', store, line.time))
+    if (source !== undefined) lines.push(formatState('records', source, line.time))
+    if (worker !== undefined) lines.push(formatState('worker', worker, line.time))
   }
   return [...lines, conclusion].join('\n')
 }
--- a/packages/cli/src/common/jsonValue.ts
+++ b/packages/cli/src/common/jsonValue.ts
@@ -43,11 +43,11 @@
  */
 export function decodeItems<T> (value: unknown, decodeItem: (item: unknown) => T | undefined): readonly T[] | undefined {
   if (!Array.isArray(value)) return undefined
-  const decoded: T[] = []
+  const decodedItems: T[] = []
   for (const item of value) {
-    const next = decodeItem(item)
-    if (next === undefined) return undefined
-    decoded.push(next)
+    const decodedItem = decodeItem(item)
+    if (decodedItem === undefined) return undefined
+    decodedItems.push(decodedItem)
   }
-  return decoded
+  return decodedItems
 }
--- a/packages/cli/src/common/logLines.ts
+++ b/packages/cli/src/common/logLines.ts
@@ -13,7 +13,7 @@
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-const NOT_FIELDS: ReadonlySet<string> = new Set(['step', 'node', 'logLevel'])
+const EXCLUDED_KEYS: ReadonlySet<string> = new Set(['step', 'node', 'logLevel'])
 
 function toRecord (value: unknown): Readonly<Record<string, unknown>> | undefined {
   return typeof value === 'object' && value !== null ? value as Record<string, unknown> : undefined
@@ -24,11 +24,11 @@
  * @returns the line, or undefined if it is none of an entry process
  */
 export function parseLogLine (text: string): LogLine | undefined {
-  const from = text.indexOf('{')
-  if (from < 0) return undefined
+  const jsonStart = text.indexOf('{')
+  if (jsonStart < 0) return undefined
   let value: unknown
   try {
-    value = JSON.parse(text.slice(from))
+    value = JSON.parse(text.slice(jsonStart))
   } catch {
     // Cut lines and lines of other programs stand among those of entry processes.
     return undefined
@@ -42,7 +42,7 @@
     node: typeof context.node === 'string' ? context.node : '',
     step: context.step,
     message: typeof line.message === 'string' ? line.message : '',
-    fields: Object.fromEntries(Object.entries(context).filter(([name]) => !NOT_FIELDS.has(name)))
+    fields: Object.fromEntries(Object.entries(context).filter(([name]) => !EXCLUDED_KEYS.has(name)))
   }
 }
 
--- a/packages/cli/src/common/operatorMessages.ts
+++ b/packages/cli/src/common/operatorMessages.ts
@@ -9,7 +9,7 @@
 import type { JsonObject } from './jsonValue.js'
 
 /** A numbered configuration; the body stays JSON as the daemon sent it. */
-export interface ConfigurationAnswer {
+export interface ConfigurationResponse {
   readonly head: ConfigurationHead
   readonly body: JsonObject
 }
@@ -32,7 +32,7 @@
 }
 
 /** A daemon's opinion of a patch. */
-export interface ValidationAnswer {
+export interface ValidationResult {
   readonly valid: boolean
   readonly problems: readonly FieldProblem[]
 }
@@ -87,7 +87,7 @@
 }
 
 /** Decodes a numbered configuration. */
-export function decodeConfiguration (value: unknown): ConfigurationAnswer | undefined {
+export function decodeConfiguration (value: unknown): ConfigurationResponse | undefined {
   if (!isJsonObject(value) || !isJsonObject(value.body)) return undefined
   const head = decodeHead(value.head)
   return head === undefined ? undefined : { head, body: value.body }
@@ -122,7 +122,7 @@
 }
 
 /** Decodes a daemon's opinion of a patch. */
-export function decodeValidation (value: unknown): ValidationAnswer | undefined {
+export function decodeValidation (value: unknown): ValidationResult | undefined {
   if (!isJsonObject(value) || typeof value.valid !== 'boolean') return undefined
   return { valid: value.valid, problems: decodeItems(value.problems, decodeFieldProblem) ?? [] }
 }
--- a/packages/cli/src/common/patchSettlement.ts
+++ b/packages/cli/src/common/patchSettlement.ts
@@ -3,7 +3,7 @@
 import type { HistoryEntry } from './operatorMessages.js'
 
 /** What is known of a change. */
-export enum Settlement {
+export enum PatchOutcome {
   Applied = 'applied',
   /** Another change stands where this one would have to. */
   NotApplied = 'not-applied',
@@ -12,8 +12,8 @@
 }
 
 /** A verdict and the version it rests on. */
-export interface SettledPatch {
-  readonly settlement: Settlement
+export interface ResolvedPatch {
+  readonly outcome: PatchOutcome
   /** Applied: the change's version. Otherwise the highest version seen. */
   readonly version: number
 }
@@ -29,11 +29,11 @@
  * @param history the accepted changes that a daemon shows
  * @returns the verdict
  */
-export function decideSettlement (changeId: string, baseVersion: number, head: ConfigurationHead, history: readonly HistoryEntry[]): SettledPatch {
-  const known = [head, ...history]
-  const own = known.find((entry) => entry.changeId === changeId)
-  if (own !== undefined) return { settlement: Settlement.Applied, version: own.version }
-  const version = Math.max(...known.map((entry) => entry.version))
-  const isTaken = known.some((entry) => entry.version === baseVersion + 1)
-  return { settlement: isTaken ? Settlement.NotApplied : Settlement.Undecided, version }
+export function decidePatchOutcome (changeId: string, baseVersion: number, head: ConfigurationHead, history: readonly HistoryEntry[]): ResolvedPatch {
+  const knownEntries = [head, ...history]
+  const ownEntry = knownEntries.find((entry) => entry.changeId === changeId)
+  if (ownEntry !== undefined) return { outcome: PatchOutcome.Applied, version: ownEntry.version }
+  const version = Math.max(...knownEntries.map((entry) => entry.version))
+  const isNextVersionTaken = knownEntries.some((entry) => entry.version === baseVersion + 1)
+  return { outcome: isNextVersionTaken ? PatchOutcome.NotApplied : PatchOutcome.Undecided, version }
 }
--- a/packages/cli/src/common/setOption.ts
+++ b/packages/cli/src/common/setOption.ts
@@ -4,13 +4,13 @@
 import type { JsonObject } from './jsonValue.js'
 
 /** Keys by which a path could reach an object's prototype instead of a field. */
-const REFUSED_KEYS: ReadonlySet<string> = new Set(['__proto__', 'constructor', 'prototype'])
+const FORBIDDEN_KEYS: ReadonlySet<string> = new Set(['__proto__', 'constructor', 'prototype'])
 
-type Mutable = Record<string, unknown>
+type MutableJsonObject = Record<string, unknown>
 
 function parsePath (text: string): readonly string[] {
   const keys = text.split('.')
-  if (keys.some((key) => key === '' || REFUSED_KEYS.has(key))) {
+  if (keys.some((key) => key === '' || FORBIDDEN_KEYS.has(key))) {
     throw new UsageError(`--set: '${text}' is no path of field names joined by dots`)
   }
   return keys
@@ -24,14 +24,14 @@
   }
 }
 
-function setField (patch: Mutable, keys: readonly string[], value: unknown): void {
+function setField (patch: MutableJsonObject, keys: readonly string[], value: unknown): void {
   const [key = '', ...rest] = keys
   if (rest.length === 0) {
     patch[key] = value
     return
   }
-  const present = patch[key]
-  const child: Mutable = isJsonObject(present) ? { ...present } : {}
+  const existing = patch[key]
+  const child: MutableJsonObject = isJsonObject(existing) ? { ...existing } : {}
   setField(child, rest, value)
   patch[key] = child
 }
@@ -42,12 +42,12 @@
  * @throws UsageError if an option can't be read
  */
 export function parseSetOptions (options: readonly string[]): JsonObject {
-  const patch: Mutable = {}
+  const patch: MutableJsonObject = {}
   for (const option of options) {
-    const at = option.indexOf('=')
-    if (at <= 0) throw new UsageError(`--set: expected path=json, got ${option}`)
-    const path = option.slice(0, at)
-    setField(patch, parsePath(path), parseJson(path, option.slice(at + 1)))
+    const separatorIndex = option.indexOf('=')
+    if (separatorIndex <= 0) throw new UsageError(`--set: expected path=json, got ${option}`)
+    const path = option.slice(0, separatorIndex)
+    setField(patch, parsePath(path), parseJson(path, option.slice(separatorIndex + 1)))
   }
   return patch
 }
--- a/packages/cli/src/common/tableFormat.ts
+++ b/packages/cli/src/common/tableFormat.ts
@@ -12,7 +12,7 @@
   readonly align?: Align
 }
 
-const GAP = '  '
+const COLUMN_SEPARATOR = '  '
 
 const PAD_BY_ALIGN: Readonly<Record<Align, (cell: string, width: number) => string>> = {
   [Align.Left]: (cell, width) => cell.padEnd(width),
@@ -28,7 +28,7 @@
   const widths = columns.map((column, index) => Math.max(column.title.length, ...rows.map((row) => row[index]?.length ?? 0)))
   const formatRow = (cells: readonly string[]): string => columns
     .map((column, index) => PAD_BY_ALIGN[column.align ?? Align.Left](cells[index] ?? '', widths[index] ?? 0))
-    .join(GAP)
+    .join(COLUMN_SEPARATOR)
     .trimEnd()
   return [columns.map((column) => column.title), ...rows].map(formatRow).join('\n')
 }
--- a/packages/cli/src/node/clientTls.ts
+++ b/packages/cli/src/node/clientTls.ts
@@ -17,7 +17,7 @@
 export type ClientTls = ReturnType<typeof toContextOptions>
 
 /** The environment variables that count where an option is left out. */
-const VARIABLES: Readonly<Record<keyof TlsOptions, string>> = { ca: 'UMBERSPAR_CA', cert: 'UMBERSPAR_CERT', key: 'UMBERSPAR_KEY' }
+const ENVIRONMENT_VARIABLES: Readonly<Record<keyof TlsOptions, string>> = { ca: 'UMBERSPAR_CA', cert: 'UMBERSPAR_CERT', key: 'UMBERSPAR_KEY' }
 
 /**
  * @param args the parsed arguments
@@ -25,11 +25,11 @@
  * @returns the paths; options go before the environment
  */
 export function readTlsOptions (args: Arguments, environment: Readonly<Record<string, string | undefined>>): TlsOptions {
-  const find = (name: keyof TlsOptions): string | undefined => {
-    const text = typeof args[name] === 'string' ? args[name] : environment[VARIABLES[name]]
+  const findPath = (name: keyof TlsOptions): string | undefined => {
+    const text = typeof args[name] === 'string' ? args[name] : environment[ENVIRONMENT_VARIABLES[name]]
     return text === '' ? undefined : text
   }
-  const options = { ca: find('ca'), cert: find('cert'), key: find('key') }
+  const options = { ca: findPath('ca'), cert: findPath('cert'), key: findPath('key') }
   if ((options.cert === undefined) !== (options.key === undefined)) throw new UsageError('--cert and --key: expected both or neither')
   if (options.cert !== undefined && options.ca === undefined) throw new UsageError('--cert: expected --ca with it')
   return options
--- a/packages/cli/src/node/commandArguments.ts
+++ b/packages/cli/src/node/commandArguments.ts
@@ -10,16 +10,16 @@
   readonly daemons: readonly string[]
   readonly isJson: boolean
   /** Undefined: the command's own default. */
-  readonly limitSeconds: number | undefined
+  readonly timeoutSeconds: number | undefined
   readonly tls: TlsOptions
 }
 
 /** The environment variable that names daemons, joined by commas. */
 export const DAEMONS_VARIABLE = 'UMBERSPAR_DAEMONS'
 
-const ADDRESS = /^(\[[0-9a-fA-F:]+\]|[A-Za-z0-9.-]+):(\d{1,5})$/
+const ADDRESS_PATTERN = /^(\[[0-9a-fA-F:]+\]|[A-Za-z0-9.-]+):(\d{1,5})$/
 const MAX_PORT = 65_535
-const MAX_LIMIT_SECONDS = 86_400
+const MAX_TIMEOUT_SECONDS = 86_400
 
 /** Declares the options that every command takes. */
 export function addGlobalOptions (parser: Argv): Argv {
@@ -68,23 +68,23 @@
 
 /** @returns the `host:port`, checked */
 export function parseAddress (text: string): string {
-  const match = ADDRESS.exec(text)
+  const match = ADDRESS_PATTERN.exec(text)
   if (match === null || Number(match[2]) > MAX_PORT) throw new UsageError(`'${text}' is no address: expected host:port`)
   return text
 }
 
 /** @returns the IP number, checked, if given */
-export function getOptionalIp (args: Arguments, name: string): string | undefined {
+export function getOptionalIpAddress (args: Arguments, name: string): string | undefined {
   const text = getOptionalText(args, name)
   if (text === undefined || isIPv4(text) || isIPv6(text)) return text
   throw new UsageError(`--${name}: expected an IP number, got ${text}`)
 }
 
-function readLimitSeconds (args: Arguments): number | undefined {
+function readTimeoutSeconds (args: Arguments): number | undefined {
   const value = args.timeout
   if (value === undefined) return undefined
-  if (typeof value !== 'number' || !(value > 0 && value <= MAX_LIMIT_SECONDS)) {
-    throw new UsageError(`--timeout: expected seconds above 0 and at most ${MAX_LIMIT_SECONDS}`)
+  if (typeof value !== 'number' || !(value > 0 && value <= MAX_TIMEOUT_SECONDS)) {
+    throw new UsageError(`--timeout: expected seconds above 0 and at most ${MAX_TIMEOUT_SECONDS}`)
   }
   return value
 }
@@ -95,8 +95,8 @@
  * @returns the global options; options go before the environment
  */
 export function readGlobalOptions (args: Arguments, environment: Readonly<Record<string, string | undefined>>): GlobalOptions {
-  const named = listTexts(args, 'daemon')
+  const fromOptions = listTexts(args, 'daemon')
   const fromEnvironment = (environment[DAEMONS_VARIABLE] ?? '').split(',').map((text) => text.trim()).filter((text) => text !== '')
-  const daemons = named.length > 0 ? named : fromEnvironment
-  return { daemons: daemons.map(parseAddress), isJson: isSet(args, 'json'), limitSeconds: readLimitSeconds(args), tls: readTlsOptions(args, environment) }
+  const daemons = fromOptions.length > 0 ? fromOptions : fromEnvironment
+  return { daemons: daemons.map(parseAddress), isJson: isSet(args, 'json'), timeoutSeconds: readTimeoutSeconds(args), tls: readTlsOptions(args, environment) }
 }
--- a/packages/cli/src/node/commandContext.ts
+++ b/packages/cli/src/node/commandContext.ts
@@ -14,7 +14,7 @@
 }
 
 /** Carries a command out; an error is printed by the caller. */
-export type CommandRun = (context: CommandContext) => Promise<Result<ExitCode, StepError>>
+export type CommandHandler = (context: CommandContext) => Promise<Result<ExitCode, StepError>>
 
 /** How a command is prepared. */
 export interface CommandSettings {
@@ -25,7 +25,7 @@
 }
 
 /** Notes which command the arguments chose; it runs after all were parsed. */
-export type RegisterCommand = (args: Arguments, run: CommandRun, settings?: CommandSettings) => void
+export type RegisterCommand = (args: Arguments, run: CommandHandler, settings?: CommandSettings) => void
 
 /**
  * Prints a command's result: as one JSON document with --json, otherwise as text.
--- a/packages/cli/src/node/commands/config.ts
+++ b/packages/cli/src/node/commands/config.ts
@@ -6,15 +6,15 @@
 import { ExitCode } from '../../common/exitCode.js'
 import { getOptionalVersion } from '../commandArguments.js'
 import { printNote, printResult } from '../commandContext.js'
-import type { CommandRun, RegisterCommand } from '../commandContext.js'
-import { listAnswers } from '../fleetQuery.js'
+import type { CommandHandler, RegisterCommand } from '../commandContext.js'
+import { askEachNode } from '../fleetQuery.js'
 import { addPatchCommand, addValidateCommand } from './configChange.js'
 import { addRollbackCommand } from './configRollback.js'
 
 /** How long one node may take to answer. */
-const NODE_LIMIT_MS = 3000
+const NODE_TIMEOUT_MS = 3000
 
-function buildGet (args: Arguments): CommandRun {
+function buildGet (args: Arguments): CommandHandler {
   const version = getOptionalVersion(args, 'version')
   return async (context) => {
     const answer = version === undefined
@@ -28,7 +28,7 @@
   }
 }
 
-const runHistory: CommandRun = async (context) => {
+const runHistory: CommandHandler = async (context) => {
   const history = await context.client.listHistory()
   if (!history.ok) return history
   const entries = history.val.toSorted((left, right) => right.version - left.version)
@@ -36,13 +36,13 @@
   return Ok(ExitCode.Ok)
 }
 
-const runStatus: CommandRun = async (context) => {
+const runStatus: CommandHandler = async (context) => {
   const { client } = context
   const fleet = await client.listFleet()
   if (!fleet.ok) return fleet
-  const until = createDeadline(client.getNow(), NODE_LIMIT_MS)
-  const answers = await listAnswers(fleet.val, async (node) => {
-    const version = await client.readVersionInForce(node.operatorAddress, until)
+  const deadline = createDeadline(client.getNow(), NODE_TIMEOUT_MS)
+  const answers = await askEachNode(fleet.val, async (node) => {
+    const version = await client.readVersionInForce(node.operatorAddress, deadline)
     return version.ok ? version.val : undefined
   })
   const status = buildConfigurationStatus(answers.map(({ node, answer }) => ({ node, version: answer })))
@@ -55,22 +55,22 @@
  * @param register notes the chosen command
  */
 export function addConfigCommands (parser: Argv, register: RegisterCommand): void {
-  parser.command('config', 'Read and change the steering configuration', (own) => {
-    own
-      .command('get', 'Print the configuration in force, or an earlier one', (get) => get
+  parser.command('config', 'Read and change the steering configuration', (builder) => {
+    builder
+      .command('get', 'Print the configuration in force, or an earlier one', (getBuilder) => getBuilder
         // Here --version is an option of the command and not a question for the client's own version.
         .version(false)
         .option('version', { type: 'number', nargs: 1, describe: 'An earlier version that the history still holds' })
         .example('umberspar config get > configuration.json', 'Save the configuration in force')
         .example('umberspar config get --version 41', 'Print version 41'), (args) => register(args, buildGet(args)))
-      .command('history', 'List accepted changes, the newest first', (history) => history
+      .command('history', 'List accepted changes, the newest first', (historyBuilder) => historyBuilder
         .example('umberspar config history --json', 'For scripts'), (args) => register(args, runHistory))
-      .command('status', 'Show the version in force at every node', (status) => status
+      .command('status', 'Show the version in force at every node', (statusBuilder) => statusBuilder
         .example('umberspar config status', 'Ask every node of the fleet'), (args) => register(args, runStatus))
-    addValidateCommand(own, register)
-    addPatchCommand(own, register)
-    addRollbackCommand(own, register)
-    return own
+    addValidateCommand(builder, register)
+    addPatchCommand(builder, register)
+    addRollbackCommand(builder, register)
+    return builder
       .demandCommand(1, 'expected get, validate, patch, rollback, history or status')
       .example('umberspar config get', 'Print the configuration in force')
       .example('umberspar config patch --base 41 --set lookupCacheMs=3000', 'Change one field')
--- a/packages/cli/src/node/commands/configChange.ts
+++ b/packages/cli/src/node/commands/configChange.ts
@@ -8,12 +8,12 @@
 import { isJsonObject } from '../../common/jsonValue.js'
 import type { JsonObject } from '../../common/jsonValue.js'
 import { checkWholeConfiguration } from '../../common/localValidation.js'
-import type { ValidationAnswer } from '../../common/operatorMessages.js'
+import type { ValidationResult } from '../../common/operatorMessages.js'
 import { UsageError } from '../../common/operatorError.js'
 import { parseSetOptions } from '../../common/setOption.js'
 import { getOptionalText, getOptionalVersion, getText, isSet, listTexts } from '../commandArguments.js'
 import { printResult } from '../commandContext.js'
-import type { CommandContext, CommandRun, RegisterCommand } from '../commandContext.js'
+import type { CommandContext, CommandHandler, RegisterCommand } from '../commandContext.js'
 import { readJsonFile } from '../jsonFile.js'
 import { PatchSubmitter } from '../patchSubmitter.js'
 import type { AppliedPatch } from '../patchSubmitter.js'
@@ -28,37 +28,37 @@
   return Err(new StepError({ code: ErrorCode.Invalid, step: 'read-file', peer: path, message: 'a patch of a configuration is a JSON object' }))
 }
 
-async function readBase (context: CommandContext, named: number | undefined): Promise<Result<number, StepError>> {
-  if (named !== undefined) return Ok(named)
-  const present = await context.client.readConfiguration()
-  return present.ok ? Ok(present.val.head.version) : present
+async function readBaseVersion (context: CommandContext, given: number | undefined): Promise<Result<number, StepError>> {
+  if (given !== undefined) return Ok(given)
+  const current = await context.client.readConfiguration()
+  return current.ok ? Ok(current.val.head.version) : current
 }
 
-function printValidation (context: CommandContext, answer: ValidationAnswer): Result<ExitCode, StepError> {
+function printValidation (context: CommandContext, answer: ValidationResult): Result<ExitCode, StepError> {
   printResult(context, answer, () => answer.valid ? 'valid' : ['not valid:', ...formatProblems(answer.problems)].join('\n'))
   return Ok(answer.valid ? ExitCode.Ok : ExitCode.Refused)
 }
 
-function buildValidate (args: Arguments): CommandRun {
+function buildValidate (args: Arguments): CommandHandler {
   const file = getText(args, 'file')
   const baseVersion = getOptionalVersion(args, 'base')
   const isPatch = isSet(args, 'patch')
   if (baseVersion !== undefined && !isPatch) throw new UsageError('--base belongs to --patch')
   return async (context) => {
     if (!isPatch) {
-      const whole = await readJsonFile(file)
-      return whole.ok ? printValidation(context, checkWholeConfiguration(whole.val)) : whole
+      const configuration = await readJsonFile(file)
+      return configuration.ok ? printValidation(context, checkWholeConfiguration(configuration.val)) : configuration
     }
     const patch = await readPatchFile(file)
     if (!patch.ok) return patch
-    const base = await readBase(context, baseVersion)
+    const base = await readBaseVersion(context, baseVersion)
     if (!base.ok) return base
     const answer = await context.client.validatePatch({ baseVersion: base.val, patch: patch.val })
     return answer.ok ? printValidation(context, answer.val) : answer
   }
 }
 
-function chooseReadPatch (args: Arguments): ReadPatch {
+function createReadPatch (args: Arguments): ReadPatch {
   const file = getOptionalText(args, 'file')
   const settings = listTexts(args, 'set')
   if ((file === undefined) === (settings.length === 0)) throw new UsageError('give either --file or --set')
@@ -68,15 +68,15 @@
 }
 
 function formatApplied (applied: AppliedPatch): string {
-  const later = applied.isSettledLater ? ' (the answer was lost; the change did take effect)' : ''
-  return `accepted as version ${applied.version}, change ${applied.changeId}${later}`
+  const note = applied.isSettledLater ? ' (the answer was lost; the change did take effect)' : ''
+  return `accepted as version ${applied.version}, change ${applied.changeId}${note}`
 }
 
-function buildPatch (args: Arguments): CommandRun {
+function buildPatch (args: Arguments): CommandHandler {
   const baseVersion = getOptionalVersion(args, 'base')
   if (baseVersion === undefined) throw new UsageError('--base: expected the version that the patch is made against')
   const note = getOptionalText(args, 'note') ?? ''
-  const readPatch = chooseReadPatch(args)
+  const readPatch = createReadPatch(args)
   return async (context) => {
     const patch = await readPatch()
     if (!patch.ok) return patch
@@ -92,7 +92,7 @@
  * @param register notes the chosen command
  */
 export function addValidateCommand (parser: Argv, register: RegisterCommand): void {
-  parser.command('validate', 'Check a whole configuration here, or a patch at a daemon', (own) => own
+  parser.command('validate', 'Check a whole configuration here, or a patch at a daemon', (builder) => builder
     .option('file', { type: 'string', demandOption: true, nargs: 1, describe: 'The JSON file' })
     .option('patch', { type: 'boolean', describe: 'The file is a JSON Merge Patch; a daemon checks it' })
     .option('base', { type: 'number', nargs: 1, describe: 'With --patch: the version it is made against; the present one by default' })
@@ -106,7 +106,7 @@
  * @param register notes the chosen command
  */
 export function addPatchCommand (parser: Argv, register: RegisterCommand): void {
-  parser.command('patch', 'Change the configuration against a numbered version', (own) => own
+  parser.command('patch', 'Change the configuration against a numbered version', (builder) => builder
     .option('base', { type: 'number', demandOption: true, nargs: 1, describe: 'The version that the patch is made against; refused if it is not the present one' })
     .option('file', { type: 'string', nargs: 1, conflicts: 'set', describe: 'A JSON Merge Patch (RFC 7396)' })
     .option('set', { type: 'string', array: true, nargs: 1, describe: 'path=json, may be repeated; null removes the field' })
--- a/packages/cli/src/node/commands/configRollback.ts
+++ b/packages/cli/src/node/commands/configRollback.ts
@@ -7,21 +7,21 @@
 import { UsageError } from '../../common/operatorError.js'
 import { getOptionalText, getOptionalVersion, isSet } from '../commandArguments.js'
 import { printResult } from '../commandContext.js'
-import type { CommandRun, RegisterCommand } from '../commandContext.js'
+import type { CommandHandler, RegisterCommand } from '../commandContext.js'
 import { PatchSubmitter } from '../patchSubmitter.js'
 
-function buildRollback (args: Arguments): CommandRun {
+function buildRollback (args: Arguments): CommandHandler {
   const target = getOptionalVersion(args, 'to')
   if (target === undefined) throw new UsageError('--to: expected the version to come back to')
   const note = getOptionalText(args, 'note') ?? `rollback to version ${target}`
   const isDryRun = isSet(args, 'dry-run')
   return async (context) => {
-    const present = await context.client.readConfiguration()
-    if (!present.ok) return present
+    const current = await context.client.readConfiguration()
+    if (!current.ok) return current
     const earlier = await context.client.readConfigurationVersion(target)
     if (!earlier.ok) return earlier
-    const baseVersion = present.val.head.version
-    const patch = computeRollbackPatch(present.val.body, earlier.val.body) as JsonObject
+    const baseVersion = current.val.head.version
+    const patch = computeRollbackPatch(current.val.body, earlier.val.body) as JsonObject
     if (isDryRun || Object.keys(patch).length === 0) {
       const title = Object.keys(patch).length === 0 ? `version ${baseVersion} is the same as version ${target}` : `against version ${baseVersion}:`
       printResult(context, { baseVersion, target, patch }, () => `${title}\n${JSON.stringify(patch, null, 2)}`)
@@ -41,7 +41,7 @@
  * @param register notes the chosen command
  */
 export function addRollbackCommand (parser: Argv, register: RegisterCommand): void {
-  parser.command('rollback', 'Bring an earlier version back as a new one', (own) => own
+  parser.command('rollback', 'Bring an earlier version back as a new one', (builder) => builder
     .option('to', { type: 'number', demandOption: true, nargs: 1, describe: 'The version to come back to; the history must still hold it' })
     .option('dry-run', { type: 'boolean', describe: 'Print the patch; nothing changes' })
     .option('note', { type: 'string', nargs: 1, describe: 'Kept in the history' })
--- a/packages/cli/src/node/commands/drain.ts
+++ b/packages/cli/src/node/commands/drain.ts
@@ -6,15 +6,15 @@
 import { ExitCode } from '../../common/exitCode.js'
 import { DrainDirection, DrainKind, getTargetName } from '../../common/drainTarget.js'
 import type { DrainTarget } from '../../common/drainTarget.js'
-import type { DrainProgress, DrainWait } from '../../common/drainProgress.js'
+import type { DrainProgress, DrainWaitOptions } from '../../common/drainProgress.js'
 import { type DrainPrediction, formatPrediction } from '../../common/drainPrediction.js'
 import { formatProblems } from '../../common/errorFormat.js'
 import type { FieldProblem } from '../../common/operatorMessages.js'
 import { getOptionalText, getText, isSet } from '../commandArguments.js'
 import { printNote, printResult } from '../commandContext.js'
-import type { CommandContext, CommandRun, RegisterCommand } from '../commandContext.js'
+import type { CommandContext, CommandHandler, RegisterCommand } from '../commandContext.js'
 import { checkDrain, applyDrain } from '../drainSubmitter.js'
-import type { DrainOrder, SubmittedDrain } from '../drainSubmitter.js'
+import type { DrainRequest, DrainResult } from '../drainSubmitter.js'
 import { DrainWatcher } from '../drainWatcher.js'
 
 /** The JSON document of `drain` and `undrain`. */
@@ -55,56 +55,56 @@
 }
 
 function formatDrain (document: DrainDocument): string {
-  const what = `${document.direction} ${document.kind} ${document.target}`
-  if (!document.isChanged) return `${what}: already so in version ${document.version}, nothing changed`
-  const later = document.isSettledLater === true ? ' (the answer was lost; the change did take effect)' : ''
-  return `${what}: accepted as version ${document.version}${later}`
+  const subject = `${document.direction} ${document.kind} ${document.target}`
+  if (!document.isChanged) return `${subject}: already so in version ${document.version}, nothing changed`
+  const note = document.isSettledLater === true ? ' (the answer was lost; the change did take effect)' : ''
+  return `${subject}: accepted as version ${document.version}${note}`
 }
 
 function formatDryRun (document: DryRunDocument): string {
   if (!document.isChanged) return `already so in version ${document.baseVersion}, nothing would change`
-  const verdict = document.isValid ? 'the daemon would accept it' : 'the daemon would refuse it:'
+  const summary = document.isValid ? 'the daemon would accept it' : 'the daemon would refuse it:'
   const patch = JSON.stringify(document.patch)
   const prediction = document.prediction === undefined ? [] : [formatPrediction(document.prediction)]
-  return [`patch against version ${document.baseVersion}: ${patch}`, verdict, ...formatProblems(document.problems), ...prediction].join('\n')
+  return [`patch against version ${document.baseVersion}: ${patch}`, summary, ...formatProblems(document.problems), ...prediction].join('\n')
 }
 
-async function runDryRun (context: CommandContext, order: DrainOrder): Promise<Result<ExitCode, StepError>> {
-  const checked = await checkDrain(context.client, order)
-  if (!checked.ok) return checked
-  const document: DryRunDocument = { isDryRun: true, ...checked.val }
+async function runDryRun (context: CommandContext, drainRequest: DrainRequest): Promise<Result<ExitCode, StepError>> {
+  const check = await checkDrain(context.client, drainRequest)
+  if (!check.ok) return check
+  const document: DryRunDocument = { isDryRun: true, ...check.val }
   printResult(context, document, () => formatDryRun(document))
   return Ok(document.isValid ? ExitCode.Ok : ExitCode.Refused)
 }
 
-function buildDocument (order: DrainOrder, submitted: SubmittedDrain): DrainDocument {
-  const { direction, target } = order
-  return { direction, kind: target.kind, target: getTargetName(target), ...submitted }
+function buildDocument (drainRequest: DrainRequest, result: DrainResult): DrainDocument {
+  const { direction, target } = drainRequest
+  return { direction, kind: target.kind, target: getTargetName(target), ...result }
 }
 
-async function runWait (context: CommandContext, wait: DrainWait, document: DrainDocument): Promise<Result<ExitCode, StepError>> {
+async function runWait (context: CommandContext, options: DrainWaitOptions, document: DrainDocument): Promise<Result<ExitCode, StepError>> {
   printNote(context, formatDrain(document))
   const watcher = new DrainWatcher(context.client, context.io, (line) => printNote(context, line))
-  const progress = await watcher.waitUntilDone(wait)
+  const progress = await watcher.waitUntilDone(options)
   if (!progress.ok) return progress
-  const whole = { ...document, progress: progress.val }
-  printResult(context, whole, () => `${document.kind} ${document.target}: ${DONE_TEXT[wait.direction]}`)
+  const fullDocument = { ...document, progress: progress.val }
+  printResult(context, fullDocument, () => `${document.kind} ${document.target}: ${DONE_TEXT[options.direction]}`)
   return Ok(ExitCode.Ok)
 }
 
-function buildRun (direction: DrainDirection, kind: DrainKind, args: Arguments): CommandRun {
+function buildRun (direction: DrainDirection, kind: DrainKind, args: Arguments): CommandHandler {
   const target = BUILD_TARGET[kind](args)
   const note = getOptionalText(args, 'note') ?? `${direction} ${kind} ${getTargetName(target)}`
-  const order: DrainOrder = { target, direction, note }
+  const drainRequest: DrainRequest = { target, direction, note }
   const isDryRun = isSet(args, 'dry-run')
   const isWaiting = isSet(args, 'wait')
-  const mayLackNodes = isSet(args, 'allow-unreachable')
+  const isUnreachableAllowed = isSet(args, 'allow-unreachable')
   return async (context) => {
-    if (isDryRun) return await runDryRun(context, order)
-    const submitted = await applyDrain(context.client, context.io, order)
-    if (!submitted.ok) return submitted
-    const document = buildDocument(order, submitted.val)
-    if (isWaiting) return await runWait(context, { target, direction, mayLackNodes }, document)
+    if (isDryRun) return await runDryRun(context, drainRequest)
+    const result = await applyDrain(context.client, context.io, drainRequest)
+    if (!result.ok) return result
+    const document = buildDocument(drainRequest, result.val)
+    if (isWaiting) return await runWait(context, { target, direction, isUnreachableAllowed }, document)
     printResult(context, document, () => formatDrain(document))
     return Ok(ExitCode.Ok)
   }
@@ -114,25 +114,25 @@
   const handle = (kind: DrainKind) => (args: Arguments): void => {
     register(args, buildRun(direction, kind, args), { isWaiting: isSet(args, 'wait') })
   }
-  const verb = `umberspar ${direction}`
+  const commandLine = `umberspar ${direction}`
   return parser
     .option('wait', { type: 'boolean', describe: 'Wait until every node is done, and show progress' })
     .option('allow-unreachable', { type: 'boolean', describe: 'With --wait: do not wait for nodes that give no answer; only if they are known to be stopped' })
     .option('dry-run', { type: 'boolean', conflicts: 'wait', describe: 'Let a daemon check the change; change nothing' })
     .option('note', { type: 'string', nargs: 1, describe: 'Kept in the history' })
-    .command('failure-domain <name>', `${direction} a failure domain`, (own) => own
+    .command('failure-domain <name>', `${direction} a failure domain`, (builder) => builder
       .positional('name', { type: 'string', describe: 'The failure domain' })
-      .example(`${verb} failure-domain klang-a --wait`, 'Wait until it is done'), handle(DrainKind.FailureDomain))
-    .command('region <name>', `${direction} a region`, (own) => own
+      .example(`${commandLine} failure-domain klang-a --wait`, 'Wait until it is done'), handle(DrainKind.FailureDomain))
+    .command('region <name>', `${direction} a region`, (builder) => builder
       .positional('name', { type: 'string', describe: 'The region' })
-      .example(`${verb} region klang --dry-run`, 'Check without changing anything'), handle(DrainKind.Region))
-    .command('place <service> <failure-domain>', `${direction} one service in one failure domain`, (own) => own
+      .example(`${commandLine} region klang --dry-run`, 'Check without changing anything'), handle(DrainKind.Region))
+    .command('place <service> <failure-domain>', `${direction} one service in one failure domain`, (builder) => builder
       .positional('service', { type: 'string', describe: 'The service' })
       .positional('failure-domain', { type: 'string', describe: 'The failure domain' })
-      .example(`${verb} place billing-svc klang-a`, 'Only this service, only there'), handle(DrainKind.Place))
+      .example(`${commandLine} place billing-svc klang-a`, 'Only this service, only there'), handle(DrainKind.Place))
     .demandCommand(1, 'expected failure-domain, region or place')
-    .example(`${verb} failure-domain klang-a --wait`, 'Wait until it is done')
-    .example(`${verb} place billing-svc klang-a --json`, 'For scripts')
+    .example(`${commandLine} failure-domain klang-a --wait`, 'Wait until it is done')
+    .example(`${commandLine} place billing-svc klang-a --json`, 'For scripts')
 }
 
 /**
@@ -140,6 +140,6 @@
  * @param register notes the chosen command
  */
 export function addDrainCommands (parser: Argv, register: RegisterCommand): void {
-  parser.command('drain', 'Take a failure domain, a region or a place out of use', (own) => addTargetCommands(own, DrainDirection.Drain, register))
-  parser.command('undrain', 'Take it back into use', (own) => addTargetCommands(own, DrainDirection.Undrain, register))
+  parser.command('drain', 'Take a failure domain, a region or a place out of use', (builder) => addTargetCommands(builder, DrainDirection.Drain, register))
+  parser.command('undrain', 'Take it back into use', (builder) => addTargetCommands(builder, DrainDirection.Undrain, register))
 }
--- a/packages/cli/src/node/commands/explain.ts
+++ b/packages/cli/src/node/commands/explain.ts
@@ -9,7 +9,7 @@
 import { formatExplanation, RequestExplainer } from '../../common/explainRequest.js'
 import { parseLogLine } from '../../common/logLines.js'
 import { printResult } from '../commandContext.js'
-import type { CommandRun, RegisterCommand } from '../commandContext.js'
+import type { CommandHandler, RegisterCommand } from '../commandContext.js'
 
 async function readLines (input: Readable, explainer: RequestExplainer): Promise<void> {
   for await (const text of createInterface({ input, crlfDelay: Number.POSITIVE_INFINITY })) {
@@ -18,7 +18,7 @@
   }
 }
 
-function createExplainRun (requestId: string, files: readonly string[]): CommandRun {
+function createExplainRun (requestId: string, files: readonly string[]): CommandHandler {
   return async (context) => {
     const explainer = new RequestExplainer(requestId)
     for (const file of files.length === 0 ? ['-'] : files) {
@@ -42,7 +42,7 @@
   parser.command(
     'explain <id> [files..]',
     'Tell one request\'s history from entry processes\' log lines',
-    (own) => own
+    (builder) => builder
       .positional('id', { type: 'string', demandOption: true, describe: 'The request\'s id' })
       .positional('files', { type: 'string', array: true, describe: 'Log files; standard input if none, or for -' })
       .example('umberspar explain 9c41d07be2a35f68 entry-*.log', 'Over the logs of all entry VMs')
--- a/packages/cli/src/node/commands/lookup.ts
+++ b/packages/cli/src/node/commands/lookup.ts
@@ -5,27 +5,27 @@
 import type { Result } from '@umberspar/base/common/result'
 import { ExitCode } from '../../common/exitCode.js'
 import { formatLookup } from '../../common/fleetFormat.js'
-import { getOptionalIp, getOptionalText, getText, parseAddress } from '../commandArguments.js'
+import { getOptionalIpAddress, getOptionalText, getText, parseAddress } from '../commandArguments.js'
 import { printResult } from '../commandContext.js'
-import type { CommandContext, CommandRun, RegisterCommand } from '../commandContext.js'
+import type { CommandContext, CommandHandler, RegisterCommand } from '../commandContext.js'
 
 const LIVE_STATE = 'live'
 
 async function findCallersAddress (context: CommandContext): Promise<Result<string, StepError>> {
   const fleet = await context.client.listFleet()
   if (!fleet.ok) return fleet
-  const known = fleet.val.filter((node) => node.callersAddress !== '')
-  const chosen = known.find((node) => node.state === LIVE_STATE) ?? known[0]
+  const candidates = fleet.val.filter((node) => node.callersAddress !== '')
+  const chosen = candidates.find((node) => node.state === LIVE_STATE) ?? candidates[0]
   if (chosen !== undefined) return Ok(chosen.callersAddress)
   const message = 'the fleet names no callers\' listener; give --address'
   return Err(new StepError({ code: ErrorCode.Unavailable, step: 'choose-entry', peer: 'local', message }))
 }
 
-function buildLookup (args: Arguments): CommandRun {
+function buildLookup (args: Arguments): CommandHandler {
   const service = getText(args, 'service')
-  const named = getOptionalText(args, 'address')
-  const address = named === undefined ? undefined : parseAddress(named)
-  const clientAddress = getOptionalIp(args, 'client-address')
+  const given = getOptionalText(args, 'address')
+  const address = given === undefined ? undefined : parseAddress(given)
+  const clientAddress = getOptionalIpAddress(args, 'client-address')
   return async (context) => {
     const peer: Result<string, StepError> = address === undefined ? await findCallersAddress(context) : Ok(address)
     if (!peer.ok) return peer
@@ -44,7 +44,7 @@
   parser.command(
     'lookup',
     'Show which entry VMs a caller of a service is sent to',
-    (own) => own
+    (builder) => builder
       .option('service', { type: 'string', demandOption: true, nargs: 1, describe: 'The service' })
       .option('address', { type: 'string', nargs: 1, describe: 'host:port of a callers\' listener; by default one of the fleet' })
       .option('client-address', { type: 'string', nargs: 1, describe: 'Look up on behalf of this IP number; believed only if the daemon trusts this machine as a forwarder' })
--- a/packages/cli/src/node/commands/report.ts
+++ b/packages/cli/src/node/commands/report.ts
@@ -7,22 +7,22 @@
 import { ExitCode } from '../../common/exitCode.js'
 import { getOptionalText } from '../commandArguments.js'
 import { printResult } from '../commandContext.js'
-import type { CommandRun, RegisterCommand } from '../commandContext.js'
-import { listAnswers } from '../fleetQuery.js'
+import type { CommandHandler, RegisterCommand } from '../commandContext.js'
+import { askEachNode } from '../fleetQuery.js'
 
 /** How long one node may take to answer. */
-const NODE_LIMIT_MS = 3000
+const NODE_TIMEOUT_MS = 3000
 const STEP = 'report-burn'
 
-function buildBurnRun (args: Arguments): CommandRun {
+function buildBurnRun (args: Arguments): CommandHandler {
   const service = getOptionalText(args, 'service')
   return async (context) => {
     const { client } = context
     const fleet = await client.listFleet()
     if (!fleet.ok) return fleet
-    const answers = await listAnswers(fleet.val, async (node) => {
-      const until = createDeadline(client.getNow(), NODE_LIMIT_MS)
-      const burn = await client.readBurn(node.operatorAddress, until, decodeNodeBurn)
+    const answers = await askEachNode(fleet.val, async (node) => {
+      const deadline = createDeadline(client.getNow(), NODE_TIMEOUT_MS)
+      const burn = await client.readBurn(node.operatorAddress, deadline, decodeNodeBurn)
       return burn.ok ? burn.val : undefined
     })
     const document = buildBurnDocument(answers.map(({ node, answer }) => ({ nodeId: node.nodeId, burn: answer })), service)
@@ -44,8 +44,8 @@
  * @param register notes the chosen command
  */
 export function addReportCommands (parser: Argv, register: RegisterCommand): void {
-  parser.command('report', 'Reports over the whole fleet', (own) => own
-    .command('burn', 'Service-level burn: error rates against the objectives, error budget left', (burn) => burn
+  parser.command('report', 'Reports over the whole fleet', (builder) => builder
+    .command('burn', 'Service-level burn: error rates against the objectives, error budget left', (burnBuilder) => burnBuilder
       .option('service', { type: 'string', nargs: 1, describe: 'Only this service' })
       .example('umberspar report burn', 'All services')
       .example('umberspar report burn --service billing-svc --json', 'One service, for scripts'),
--- a/packages/cli/src/node/fleetQuery.ts
+++ b/packages/cli/src/node/fleetQuery.ts
@@ -8,14 +8,14 @@
 }
 
 /** Questions in flight at a time: bounds sockets when the fleet counts thousands of nodes. */
-const MAX_IN_FLIGHT = 64
+const MAX_REQUESTS_IN_FLIGHT = 64
 
 /**
  * @param nodes the fleet
  * @param ask asks one node; it must end by a deadline of its own
  * @returns the answers in the order of the nodes
  */
-export async function listAnswers<T> (
+export async function askEachNode<T> (
   nodes: readonly FleetNode[],
   ask: (node: FleetNode) => Promise<T | undefined>
 ): Promise<ReadonlyArray<NodeAnswer<T>>> {
@@ -27,6 +27,6 @@
       answers[index] = { node, answer: await ask(node) }
     }
   }
-  await Promise.all(Array.from({ length: Math.min(MAX_IN_FLIGHT, nodes.length) }, runWorker))
+  await Promise.all(Array.from({ length: Math.min(MAX_REQUESTS_IN_FLIGHT, nodes.length) }, runWorker))
   return answers
 }
--- a/packages/cli/src/node/httpTransport.ts
+++ b/packages/cli/src/node/httpTransport.ts
@@ -35,9 +35,9 @@
 }
 
 /** How long a TCP connection may take before the next daemon is tried. */
-const CONNECT_LIMIT_MS = 3000
+const CONNECT_TIMEOUT_MS = 3000
 /** An answer larger than this is refused, so that a wrong peer can't fill the memory. */
-const MAX_ANSWER_BYTES = 256 * 1024 * 1024
+const MAX_RESPONSE_BYTES = 256 * 1024 * 1024
 const FIRST_ERROR_STATUS = 400
 const FIRST_SERVER_ERROR_STATUS = 500
 
@@ -60,13 +60,13 @@
 ])
 
 /** The code for a lost answer: a read may be asked again, a write is settled first. */
-const CODE_OF_LOST_ANSWER: Readonly<Record<CallKind, ErrorCode>> = {
+const LOST_RESPONSE_CODES: Readonly<Record<CallKind, ErrorCode>> = {
   [CallKind.Read]: ErrorCode.Unavailable,
   [CallKind.Write]: ErrorCode.EffectUnknown
 }
 
 /** The code for a call whose time ran out after it was handed to the socket. */
-const CODE_OF_TIMEOUT: Readonly<Record<CallKind, ErrorCode>> = {
+const TIMEOUT_CODES: Readonly<Record<CallKind, ErrorCode>> = {
   [CallKind.Read]: ErrorCode.DeadlinePassed,
   [CallKind.Write]: ErrorCode.EffectUnknown
 }
@@ -83,7 +83,7 @@
   if (known !== undefined) return known
   if (status < FIRST_SERVER_ERROR_STATUS) return ErrorCode.Refused
   // Only the daemon's explicit word excludes an effect of a write; a bare 5xx does not.
-  return problem?.outcome === 'not-run' ? ErrorCode.Unavailable : CODE_OF_LOST_ANSWER[kind]
+  return problem?.outcome === 'not-run' ? ErrorCode.Unavailable : LOST_RESPONSE_CODES[kind]
 }
 
 function parseBody (text: string): unknown {
@@ -107,7 +107,7 @@
     private readonly clock: IClock,
     tls?: ClientTls
   ) {
-    this.agent = new Agent({ connect: { timeout: CONNECT_LIMIT_MS, ...tls }, maxResponseSize: MAX_ANSWER_BYTES })
+    this.agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT_MS, ...tls }, maxResponseSize: MAX_RESPONSE_BYTES })
     this.scheme = tls === undefined ? 'http' : 'https'
   }
 
@@ -120,13 +120,13 @@
     if (hasPassed(call.deadline, this.clock.now())) {
       return Err(new OperatorError({ code: ErrorCode.DeadlinePassed, step: call.step, peer: call.peer, message: 'no time left to ask' }))
     }
-    const abort = new AbortController()
-    const timer = this.clock.schedule(call.deadline, () => abort.abort())
+    const abortController = new AbortController()
+    const timer = this.clock.schedule(call.deadline, () => abortController.abort())
     try {
-      const { status, text } = await this.send(call, abort.signal)
-      return this.decodeAnswer(call, status, text, decode)
+      const { status, text } = await this.send(call, abortController.signal)
+      return this.decodeResponse(call, status, text, decode)
     } catch (failure) {
-      return Err(this.classifyFailure(call, failure, abort.signal.aborted))
+      return Err(this.classifyFailure(call, failure, abortController.signal.aborted))
     } finally {
       timer.close()
     }
@@ -138,17 +138,17 @@
 
   private async send (call: HttpCall, signal: AbortSignal): Promise<{ status: number, text: string }> {
     const hasBody = call.body !== undefined
-    const answer = await request(`${this.scheme}://${call.peer}${call.path}`, {
+    const response = await request(`${this.scheme}://${call.peer}${call.path}`, {
       dispatcher: this.agent,
       method: hasBody ? 'POST' : 'GET',
       headers: { accept: 'application/json', ...(hasBody ? { 'content-type': 'application/json' } : {}), ...call.headers },
       body: hasBody ? JSON.stringify(call.body) : null,
       signal
     })
-    return { status: answer.statusCode, text: await answer.body.text() }
+    return { status: response.statusCode, text: await response.body.text() }
   }
 
-  private decodeAnswer<T> (call: HttpCall, status: number, text: string, decode: (value: unknown) => T | undefined): Result<T, OperatorError> {
+  private decodeResponse<T> (call: HttpCall, status: number, text: string, decode: (value: unknown) => T | undefined): Result<T, OperatorError> {
     const { step, peer } = call
     const value = parseBody(text)
     if (status >= FIRST_ERROR_STATUS) {
@@ -167,11 +167,11 @@
   private classifyFailure (call: HttpCall, failure: unknown, isTimedOut: boolean): OperatorError {
     const { step, peer, kind } = call
     if (isTimedOut) {
-      return new OperatorError({ code: CODE_OF_TIMEOUT[kind], step, peer, message: 'no answer in time', cause: failure })
+      return new OperatorError({ code: TIMEOUT_CODES[kind], step, peer, message: 'no answer in time', cause: failure })
     }
     const errorCode = getErrorCode(failure)
     const reason = failure instanceof Error && failure.message !== '' ? failure.message : errorCode
-    const code = NOT_SENT_CODES.has(errorCode) ? ErrorCode.Unavailable : CODE_OF_LOST_ANSWER[kind]
+    const code = NOT_SENT_CODES.has(errorCode) ? ErrorCode.Unavailable : LOST_RESPONSE_CODES[kind]
     return new OperatorError({ code, step, peer, message: reason, cause: failure })
   }
 }
--- a/packages/cli/src/node/main.ts
+++ b/packages/cli/src/node/main.ts
@@ -4,12 +4,12 @@
 import { runCli } from './runCli.js'
 import { PROCESS_TERMINAL } from './terminal.js'
 
-const POLL_SPAN_MS = 500
+const POLL_INTERVAL_MS = 500
 
 process.exitCode = await runCli(process.argv.slice(2), {
   terminal: PROCESS_TERMINAL,
   clock: new SystemClock(),
   environment: process.env,
   createChangeId: randomUUID,
-  pollSpanMs: POLL_SPAN_MS
+  pollSpanMs: POLL_INTERVAL_MS
 })
--- a/packages/cli/src/node/operatorClient.ts
+++ b/packages/cli/src/node/operatorClient.ts
@@ -17,7 +17,7 @@
 import type { HttpCall } from './httpTransport.js'
 
 /** A result of a call to a daemon. */
-export type Answer<T> = Promise<Result<T, OperatorError>>
+export type CallResult<T> = Promise<Result<T, OperatorError>>
 
 /** A change as it is sent. */
 export interface PatchRequest {
@@ -43,13 +43,13 @@
 }
 
 /** Errors after which another daemon may do better; every other error is final. */
-const TRY_NEXT_CODES: ReadonlySet<ErrorCode> = new Set([ErrorCode.Unavailable, ErrorCode.DeadlinePassed])
+const FAILOVER_CODES: ReadonlySet<ErrorCode> = new Set([ErrorCode.Unavailable, ErrorCode.DeadlinePassed])
 
 /** Talks to the operators' listeners within one deadline. */
 export class OperatorClient implements IClosable {
   private readonly transport: HttpTransport
   /** The daemon to begin with: the last that answered, or the one after the last that failed. */
-  private first = 0
+  private nextDaemonIndex = 0
 
   /**
    * @param daemons `host:port` of operators' listeners, at least one
@@ -67,25 +67,25 @@
   }
 
   /** @returns the configuration in force at the daemon that answers */
-  readConfiguration (): Answer<messages.ConfigurationAnswer> {
-    return this.callAny({ kind: CallKind.Read, step: 'read-configuration', path: '/v1/config' }, messages.decodeConfiguration)
+  readConfiguration (): CallResult<messages.ConfigurationResponse> {
+    return this.callAnyDaemon({ kind: CallKind.Read, step: 'read-configuration', path: '/v1/config' }, messages.decodeConfiguration)
   }
 
   /** @returns a configuration kept in the history */
-  readConfigurationVersion (version: number): Answer<messages.ConfigurationAnswer> {
+  readConfigurationVersion (version: number): CallResult<messages.ConfigurationResponse> {
     const path = `/v1/config/versions/${version}`
-    return this.callAny({ kind: CallKind.Read, step: 'read-configuration-version', path }, messages.decodeConfiguration)
+    return this.callAnyDaemon({ kind: CallKind.Read, step: 'read-configuration-version', path }, messages.decodeConfiguration)
   }
 
   /** @returns the accepted changes that are kept */
-  listHistory (): Answer<readonly messages.HistoryEntry[]> {
-    return this.callAny({ kind: CallKind.Read, step: 'list-history', path: '/v1/config/history' }, messages.decodeHistory)
+  listHistory (): CallResult<readonly messages.HistoryEntry[]> {
+    return this.callAnyDaemon({ kind: CallKind.Read, step: 'list-history', path: '/v1/config/history' }, messages.decodeHistory)
   }
 
   /** @returns whether a daemon would accept the patch, and which fields break rules; nothing is written */
-  async validatePatch (body: ValidationRequest): Answer<messages.ValidationAnswer> {
+  async validatePatch (body: ValidationRequest): CallResult<messages.ValidationResult> {
     const path = '/v1/config/validate'
-    const answer = await this.callAny({ kind: CallKind.Read, step: 'validate-patch', path, body }, messages.decodeValidation)
+    const answer = await this.callAnyDaemon({ kind: CallKind.Read, step: 'validate-patch', path, body }, messages.decodeValidation)
     if (answer.ok) return answer
     // A daemon may name the faulty fields in a problem document, as it does for a patch that is applied.
     const problems = answer.val.problem?.problems ?? []
@@ -93,8 +93,8 @@
   }
 
   /** @returns what the patch's drains would do under the demand measured now; nothing is written */
-  predictDrain (body: ValidationRequest): Answer<DrainPrediction> {
-    return this.callAny({ kind: CallKind.Read, step: 'predict-drain', path: '/v1/drains/predict', body }, decodePrediction)
+  predictDrain (body: ValidationRequest): CallResult<DrainPrediction> {
+    return this.callAnyDaemon({ kind: CallKind.Read, step: 'predict-drain', path: '/v1/drains/predict', body }, decodePrediction)
   }
 
   /**
@@ -104,28 +104,28 @@
    * @param body the change
    * @returns the new head
    */
-  sendPatch (body: PatchRequest): Answer<ConfigurationHead> {
-    return this.callAny({ kind: CallKind.Write, step: 'send-patch', path: '/v1/config/patches', body }, messages.decodePatchAnswer)
+  sendPatch (body: PatchRequest): CallResult<ConfigurationHead> {
+    return this.callAnyDaemon({ kind: CallKind.Write, step: 'send-patch', path: '/v1/config/patches', body }, messages.decodePatchAnswer)
   }
 
   /** @returns all nodes that the answering daemon knows */
-  listFleet (): Answer<readonly messages.FleetNode[]> {
-    return this.callAny({ kind: CallKind.Read, step: 'list-fleet', path: '/v1/fleet' }, messages.decodeFleet)
+  listFleet (): CallResult<readonly messages.FleetNode[]> {
+    return this.callAnyDaemon({ kind: CallKind.Read, step: 'list-fleet', path: '/v1/fleet' }, messages.decodeFleet)
   }
 
   /** @returns the configuration version in force at one node */
-  readVersionInForce (peer: string, until: Deadline): Answer<number> {
-    return this.callNode(peer, 'read-status', '/v1/status', until, messages.decodeVersionInForce)
+  readVersionInForce (peer: string, callDeadline: Deadline): CallResult<number> {
+    return this.callNode(peer, 'read-status', '/v1/status', callDeadline, messages.decodeVersionInForce)
   }
 
   /** @returns one node's progress with all drains */
-  listDrains (peer: string, until: Deadline): Answer<readonly messages.NodeDrain[]> {
-    return this.callNode(peer, 'list-drains', '/v1/drains', until, messages.decodeDrains)
+  listDrains (peer: string, callDeadline: Deadline): CallResult<readonly messages.NodeDrain[]> {
+    return this.callNode(peer, 'list-drains', '/v1/drains', callDeadline, messages.decodeDrains)
   }
 
   /** @returns what one node counted for its burn report, decoded by the caller */
-  readBurn<T> (peer: string, until: Deadline, decode: Decode<T>): Answer<T> {
-    return this.callNode(peer, 'read-burn', '/v1/burn', until, decode)
+  readBurn<T> (peer: string, callDeadline: Deadline, decode: Decode<T>): CallResult<T> {
+    return this.callNode(peer, 'read-burn', '/v1/burn', callDeadline, decode)
   }
 
   /**
@@ -134,7 +134,7 @@
    * @param clientAddress looks up on behalf of this IP number; believed only if the daemon trusts this machine
    * @returns the entry VMs to use
    */
-  lookUp (peer: string, service: string, clientAddress: string | undefined): Answer<LookupAnswer> {
+  lookUp (peer: string, service: string, clientAddress: string | undefined): CallResult<LookupAnswer> {
     const path = `/v1/lookup?service=${encodeURIComponent(service)}`
     const headers: Readonly<Record<string, string>> = clientAddress === undefined ? {} : { 'x-forwarded-for': clientAddress }
     return this.transport.call({ kind: CallKind.Read, step: 'look-up', peer, path, headers, deadline: this.deadline }, messages.decodeLookup)
@@ -149,23 +149,23 @@
     await this.transport.close()
   }
 
-  private callNode<T> (peer: string, step: string, path: string, until: Deadline, decode: Decode<T>): Answer<T> {
-    const deadline = Math.min(until, this.deadline)
+  private callNode<T> (peer: string, step: string, path: string, callDeadline: Deadline, decode: Decode<T>): CallResult<T> {
+    const deadline = Math.min(callDeadline, this.deadline)
     return this.transport.call({ kind: CallKind.Read, step, peer, path, deadline }, decode)
   }
 
-  private async callAny<T> (call: AnyDaemonCall, decode: Decode<T>): Answer<T> {
+  private async callAnyDaemon<T> (call: AnyDaemonCall, decode: Decode<T>): CallResult<T> {
     const failures: OperatorError[] = []
-    for (let left = this.daemons.length; left > 0; left--) {
-      const peer = this.daemons[this.first % this.daemons.length] ?? ''
-      const deadline = this.computeAttemptDeadline(left + RESERVED_SHARES[call.kind])
+    for (let daemonsLeft = this.daemons.length; daemonsLeft > 0; daemonsLeft--) {
+      const peer = this.daemons[this.nextDaemonIndex % this.daemons.length] ?? ''
+      const deadline = this.computeAttemptDeadline(daemonsLeft + RESERVED_SHARES[call.kind])
       const answer = await this.transport.call({ ...call, peer, deadline }, decode)
       if (answer.ok) return answer
-      if (!TRY_NEXT_CODES.has(answer.val.code)) {
-        if (answer.val.code === ErrorCode.EffectUnknown) this.first += 1
+      if (!FAILOVER_CODES.has(answer.val.code)) {
+        if (answer.val.code === ErrorCode.EffectUnknown) this.nextDaemonIndex += 1
         return answer
       }
-      this.first += 1
+      this.nextDaemonIndex += 1
       failures.push(answer.val)
     }
     return Err(this.mergeFailures(call.step, failures))
@@ -178,8 +178,8 @@
   }
 
   private mergeFailures (step: string, failures: readonly OperatorError[]): OperatorError {
-    const isLate = hasPassed(this.deadline, this.clock.now()) && failures.some((failure) => failure.code === ErrorCode.DeadlinePassed)
-    const code = isLate ? ErrorCode.DeadlinePassed : ErrorCode.Unavailable
+    const hasTimedOut = hasPassed(this.deadline, this.clock.now()) && failures.some((failure) => failure.code === ErrorCode.DeadlinePassed)
+    const code = hasTimedOut ? ErrorCode.DeadlinePassed : ErrorCode.Unavailable
     const reasons = failures.map((failure) => `${failure.peer}: ${failure.message}`).join('; ')
     const peer = failures.map((failure) => failure.peer).join(',')
     return new OperatorError({ code, step, peer, message: `no daemon could do it: ${reasons}` }, failures.at(-1)?.problem)
--- a/packages/cli/src/node/patchSubmitter.ts
+++ b/packages/cli/src/node/patchSubmitter.ts
@@ -6,8 +6,8 @@
 import type { Result } from '@umberspar/base/common/result'
 import type { JsonObject } from '../common/jsonValue.js'
 import { OperatorError } from '../common/operatorError.js'
-import { decideSettlement, Settlement } from '../common/patchSettlement.js'
-import type { SettledPatch } from '../common/patchSettlement.js'
+import { decidePatchOutcome, PatchOutcome } from '../common/patchSettlement.js'
+import type { ResolvedPatch } from '../common/patchSettlement.js'
 import type { CliIo } from './cliIo.js'
 import type { OperatorClient, PatchRequest } from './operatorClient.js'
 
@@ -20,7 +20,7 @@
 }
 
 /** A change to make. */
-export interface PatchOrder {
+export interface PatchSubmission {
   readonly baseVersion: number
   readonly patch: JsonObject
   readonly note: string
@@ -30,12 +30,12 @@
 
 /**
  * @param clock the source of time
- * @param spanMs how long to wait
+ * @param durationMs how long to wait
  * @returns settled when the span has passed
  */
-export async function waitFor (clock: IClock, spanMs: number): Promise<void> {
+export async function waitFor (clock: IClock, durationMs: number): Promise<void> {
   await new Promise<void>((resolve) => {
-    clock.schedule(createDeadline(clock.now(), spanMs), resolve)
+    clock.schedule(createDeadline(clock.now(), durationMs), resolve)
   })
 }
 
@@ -51,11 +51,11 @@
    * broke, or time ran out after sending) shows as `EffectUnknown`; then the
    * head and the history say whose change became the next version. The change
    * is never sent again under another id, so it can't take effect twice.
-   * @param order what to change, against which version
+   * @param submission what to change, against which version
    * @returns the version made; `Conflict` if another change came first; `EffectUnknown` if the deadline came before a verdict
    */
-  async send (order: PatchOrder): Promise<Result<AppliedPatch, OperatorError>> {
-    const request: PatchRequest = { ...order, changeId: this.io.createChangeId() }
+  async send (submission: PatchSubmission): Promise<Result<AppliedPatch, OperatorError>> {
+    const request: PatchRequest = { ...submission, changeId: this.io.createChangeId() }
     const answer = await this.client.sendPatch(request)
     if (answer.ok) {
       return Ok({ version: answer.val.version, changeId: request.changeId, isSettledLater: false })
@@ -65,25 +65,25 @@
     return await this.settle(request, answer.val)
   }
 
-  private async settle (request: PatchRequest, lost: OperatorError): Promise<Result<AppliedPatch, OperatorError>> {
+  private async settle (request: PatchRequest, lostAnswer: OperatorError): Promise<Result<AppliedPatch, OperatorError>> {
     while (!hasPassed(this.client.deadline, this.io.clock.now())) {
-      const verdict = await this.readVerdict(request)
-      if (verdict?.settlement === Settlement.Applied) {
-        return Ok({ version: verdict.version, changeId: request.changeId, isSettledLater: true })
+      const resolved = await this.readOutcome(request)
+      if (resolved?.outcome === PatchOutcome.Applied) {
+        return Ok({ version: resolved.version, changeId: request.changeId, isSettledLater: true })
       }
-      if (verdict?.settlement === Settlement.NotApplied) return Err(this.buildConflict(request, lost.peer, verdict.version))
+      if (resolved?.outcome === PatchOutcome.NotApplied) return Err(this.buildConflict(request, lostAnswer.peer, resolved.version))
       await waitFor(this.io.clock, this.io.pollSpanMs)
     }
-    const message = `change ${request.changeId} against version ${request.baseVersion} may or may not have taken effect; look for this id by 'umberspar config history' before trying again (${lost.message})`
-    return Err(new OperatorError({ code: ErrorCode.EffectUnknown, step: SETTLE_STEP, peer: lost.peer, message, cause: lost }))
+    const message = `change ${request.changeId} against version ${request.baseVersion} may or may not have taken effect; look for this id by 'umberspar config history' before trying again (${lostAnswer.message})`
+    return Err(new OperatorError({ code: ErrorCode.EffectUnknown, step: SETTLE_STEP, peer: lostAnswer.peer, message, cause: lostAnswer }))
   }
 
-  private async readVerdict (request: PatchRequest): Promise<SettledPatch | undefined> {
-    const present = await this.client.readConfiguration()
-    if (!present.ok) return undefined
+  private async readOutcome (request: PatchRequest): Promise<ResolvedPatch | undefined> {
+    const current = await this.client.readConfiguration()
+    if (!current.ok) return undefined
     const history = await this.client.listHistory()
     const entries = history.ok ? history.val : []
-    return decideSettlement(request.changeId, request.baseVersion, present.val.head, entries)
+    return decidePatchOutcome(request.changeId, request.baseVersion, current.val.head, entries)
   }
 
   private buildConflict (request: PatchRequest, peer: string, currentVersion: number): OperatorError {
--- a/packages/cli/src/node/runCli.ts
+++ b/packages/cli/src/node/runCli.ts
@@ -16,25 +16,25 @@
 import type { GlobalOptions } from './commandArguments.js'
 import type { CliIo } from './cliIo.js'
 import { loadClientTls } from './clientTls.js'
-import type { CommandRun, CommandSettings, RegisterCommand } from './commandContext.js'
+import type { CommandHandler, CommandSettings, RegisterCommand } from './commandContext.js'
 import { OperatorClient } from './operatorClient.js'
 
 /** The version that `--version` prints. */
 const CLIENT_VERSION = '0.1.0'
-const HELP_COLUMNS = 100
-const DEFAULT_LIMIT_SECONDS = 10
-const DEFAULT_WAITING_LIMIT_SECONDS = 600
+const HELP_WIDTH_COLUMNS = 100
+const DEFAULT_TIMEOUT_SECONDS = 10
+const DEFAULT_WAIT_TIMEOUT_SECONDS = 600
 const MS_PER_SECOND = 1000
 
 /** The command that the arguments chose. */
 interface ChosenCommand {
-  readonly run: CommandRun
+  readonly run: CommandHandler
   readonly settings: CommandSettings
   readonly options: GlobalOptions
 }
 
 /** What parsing gave: a command, or text (help, version, completion script). */
-interface ParsedLine {
+interface ParsedCommandLine {
   readonly chosen: ChosenCommand | undefined
   readonly output: string
 }
@@ -46,7 +46,7 @@
     // Steering names contain hyphens and JSON paths contain dots: both stay as written.
     .parserConfiguration({ 'camel-case-expansion': false, 'dot-notation': false, 'parse-positional-numbers': false })
     .detectLocale(false)
-    .wrap(HELP_COLUMNS)
+    .wrap(HELP_WIDTH_COLUMNS)
     .exitProcess(false)
     .fail(false)
     .strict()
@@ -65,7 +65,7 @@
   return parser
 }
 
-async function parseLine (argv: readonly string[], io: CliIo): Promise<ParsedLine> {
+async function parseCommandLine (argv: readonly string[], io: CliIo): Promise<ParsedCommandLine> {
   let chosen: ChosenCommand | undefined
   let output = ''
   const register: RegisterCommand = (args: Arguments, run, settings = {}) => {
@@ -81,9 +81,9 @@
   return { chosen, output }
 }
 
-function computeLimitSeconds (chosen: ChosenCommand): number {
-  const byCommand = chosen.settings.isWaiting === true ? DEFAULT_WAITING_LIMIT_SECONDS : DEFAULT_LIMIT_SECONDS
-  return chosen.options.limitSeconds ?? byCommand
+function computeTimeoutSeconds (chosen: ChosenCommand): number {
+  const defaultSeconds = chosen.settings.isWaiting === true ? DEFAULT_WAIT_TIMEOUT_SECONDS : DEFAULT_TIMEOUT_SECONDS
+  return chosen.options.timeoutSeconds ?? defaultSeconds
 }
 
 function printFailure (io: CliIo, isJson: boolean, error: StepError): ExitCode {
@@ -92,7 +92,7 @@
   return exitCode
 }
 
-function printUsageFailure (io: CliIo, isJson: boolean, message: string): ExitCode {
+function printUsageError (io: CliIo, isJson: boolean, message: string): ExitCode {
   const error = { code: USAGE_CODE, exitCode: ExitCode.Usage, step: 'parse-arguments', peer: 'local', message }
   const text = `umberspar: ${message} (step ${error.step}, peer ${error.peer})\nSee: umberspar --help`
   io.terminal.printError(isJson ? JSON.stringify({ error }, null, 2) : text)
@@ -102,17 +102,17 @@
 async function runCommand (chosen: ChosenCommand, io: CliIo): Promise<ExitCode> {
   const { daemons, isJson } = chosen.options
   if (daemons.length === 0 && chosen.settings.needsDaemon !== false) {
-    return printUsageFailure(io, isJson, `no daemon named: give --daemon host:port or set ${DAEMONS_VARIABLE}`)
+    return printUsageError(io, isJson, `no daemon named: give --daemon host:port or set ${DAEMONS_VARIABLE}`)
   }
   const tls = await loadClientTls(chosen.options.tls, io.clock)
   if (!tls.ok) return printFailure(io, isJson, tls.val)
-  const deadline = createDeadline(io.clock.now(), computeLimitSeconds(chosen) * MS_PER_SECOND)
+  const deadline = createDeadline(io.clock.now(), computeTimeoutSeconds(chosen) * MS_PER_SECOND)
   const client = new OperatorClient(daemons, io.clock, deadline, tls.val)
   try {
     const result = await chosen.run({ io, isJson, client })
     return result.ok ? result.val : printFailure(io, isJson, result.val)
   } catch (thrown) {
-    if (thrown instanceof UsageError) return printUsageFailure(io, isJson, thrown.message)
+    if (thrown instanceof UsageError) return printUsageError(io, isJson, thrown.message)
     return printFailure(io, isJson, toStepError(thrown, 'run-command', 'local'))
   } finally {
     await client.close()
@@ -126,13 +126,13 @@
  * @returns how the process should end
  */
 export async function runCli (argv: readonly string[], io: CliIo): Promise<ExitCode> {
-  let line: ParsedLine
+  let parsed: ParsedCommandLine
   try {
-    line = await parseLine(argv, io)
+    parsed = await parseCommandLine(argv, io)
   } catch (thrown) {
-    return printUsageFailure(io, argv.includes('--json'), thrown instanceof Error ? thrown.message : String(thrown))
+    return printUsageError(io, argv.includes('--json'), thrown instanceof Error ? thrown.message : String(thrown))
   }
-  if (line.chosen !== undefined) return await runCommand(line.chosen, io)
-  if (line.output !== '') io.terminal.print(line.output)
+  if (parsed.chosen !== undefined) return await runCommand(parsed.chosen, io)
+  if (parsed.output !== '') io.terminal.print(parsed.output)
   return ExitCode.Ok
 }
--- a/packages/cli/test/node/fakeFleet.ts
+++ b/packages/cli/test/node/fakeFleet.ts
@@ -24,7 +24,7 @@
 }
 
 /** Answers a request itself and returns true, or leaves it to the fake. */
-export type Override = (request: IncomingMessage, response: ServerResponse, store: FakeStore, received: ReceivedPatch | undefined) => boolean
+export type RequestOverride = (request: IncomingMessage, response: ServerResponse, store: FakeStore, received: ReceivedPatch | undefined) => boolean
 
 /** Creates a store at a version, with one change behind it. */
 export function createStore (version: number, body: Record<string, unknown>): FakeStore {
@@ -53,11 +53,11 @@
 /** One fake daemon. */
 export class FakeDaemon {
   /** What it was asked, as `METHOD path`. */
-  readonly asked: string[] = []
+  readonly requestLines: string[] = []
   readonly patches: ReceivedPatch[] = []
   /** Answers of GET paths beside the configuration's. */
   readonly answers = new Map<string, () => unknown>()
-  override: Override = () => false
+  override: RequestOverride = () => false
   private readonly server: Server
   private port = 0
 
@@ -82,19 +82,19 @@
   }
 
   private handle (request: IncomingMessage, response: ServerResponse): void {
-    const parts: Buffer[] = []
-    request.on('data', (part: Buffer) => { parts.push(part) })
-    request.on('end', () => { this.answer(request, response, Buffer.concat(parts).toString()) })
+    const chunks: Buffer[] = []
+    request.on('data', (chunk: Buffer) => { chunks.push(chunk) })
+    request.on('end', () => { this.answer(request, response, Buffer.concat(chunks).toString()) })
   }
 
   private answer (request: IncomingMessage, response: ServerResponse, text: string): void {
     const path = (request.url ?? '').split('?')[0] ?? ''
-    this.asked.push(`${request.method} ${path}`)
+    this.requestLines.push(`${request.method} ${path}`)
     const received = text === '' ? undefined : JSON.parse(text) as ReceivedPatch
     if (path === '/v1/config/patches' && received !== undefined) this.patches.push(received)
     if (this.override(request, response, this.store, received)) return
-    const fixed = this.answers.get(path)
-    if (fixed !== undefined) answerJson(response, 200, fixed())
+    const buildAnswer = this.answers.get(path)
+    if (buildAnswer !== undefined) answerJson(response, 200, buildAnswer())
     else if (path === '/v1/config') answerJson(response, 200, { head: getHead(this.store), body: this.store.body })
     else if (path === '/v1/config/history') answerJson(response, 200, { entries: this.store.entries })
     else if (path === '/v1/config/patches' && received !== undefined) this.answerPatch(response, received)
@@ -114,20 +114,20 @@
 }
 
 /** A clock that a fake can set past every deadline, so that no test waits for one. */
-export class LeapingClock extends SystemClock {
-  private leapMs = 0
+export class AdjustableClock extends SystemClock {
+  private offsetMs = 0
 
   override now (): Instant {
-    return super.now() + this.leapMs
+    return super.now() + this.offsetMs
   }
 
   override schedule (at: Instant, callback: () => void): ReturnType<SystemClock['schedule']> {
-    return super.schedule(at - this.leapMs, callback)
+    return super.schedule(at - this.offsetMs, callback)
   }
 
   /** Puts the clock forward by a day. */
   setPastDeadlines (): void {
-    this.leapMs = 86_400_000
+    this.offsetMs = 86_400_000
   }
 }
 
@@ -144,15 +144,15 @@
  * @param environment the environment's variables
  * @param clock the run's clock
  */
-export async function runLine (argv: readonly string[], environment: Record<string, string> = {}, clock = new LeapingClock()): Promise<RunReport> {
+export async function runCommandLine (argv: readonly string[], environment: Record<string, string> = {}, clock = new AdjustableClock()): Promise<RunReport> {
   const output: string[] = []
   const errors: string[] = []
-  let changes = 0
+  let changeCount = 0
   const io: CliIo = {
     terminal: { print: (text) => { output.push(text) }, printError: (text) => { errors.push(text) } },
     clock,
     environment,
-    createChangeId: () => `id-${++changes}`,
+    createChangeId: () => `id-${++changeCount}`,
     pollSpanMs: 1
   }
   const exitCode = await runCli(argv, io)
--- a/packages/cli/test/node/fleet.test.ts
+++ b/packages/cli/test/node/fleet.test.ts
@@ -2,24 +2,24 @@
 import { afterEach, describe, it } from 'node:test'
 import { fileURLToPath } from 'node:url'
 import { ExitCode } from '../../src/common/exitCode.js'
-import { buildNode, createStore, FakeDaemon, LeapingClock, runLine } from './fakeFleet.js'
+import { buildNode, createStore, FakeDaemon, AdjustableClock, runCommandLine } from './fakeFleet.js'
 
-const opened: FakeDaemon[] = []
+const openedDaemons: FakeDaemon[] = []
 /** Nothing listens here: port 1 of the loopback is never given out by the system. */
 const CLOSED_ADDRESS = '127.0.0.1:1'
 
 async function openDaemons (count: number): Promise<FakeDaemon[]> {
   const store = createStore(7, { drains: { failureDomains: ['klang-a'] } })
-  for (let index = 0; index < count; index++) opened.push(await new FakeDaemon(store).open())
-  return opened
+  for (let index = 0; index < count; index++) openedDaemons.push(await new FakeDaemon(store).open())
+  return openedDaemons
 }
 
-function setFleet (asked: FakeDaemon | undefined, nodes: object[]): void {
-  asked?.answers.set('/v1/fleet', () => ({ nodes }))
+function setFleet (daemon: FakeDaemon | undefined, nodes: object[]): void {
+  daemon?.answers.set('/v1/fleet', () => ({ nodes }))
 }
 
 afterEach(async () => {
-  for (const daemon of opened.splice(0)) await daemon.close()
+  for (const daemon of openedDaemons.splice(0)) await daemon.close()
 })
 
 describe('drain --wait', () => {
@@ -40,7 +40,7 @@
       const inFlight = Math.max(0, 4 - rounds)
       return { drains: [{ target: 'klang-a', kind: 'failure-domain', weight: 0, inFlight, isSafeToStop: inFlight === 0 }] }
     })
-    const report = await runLine(['drain', 'failure-domain', 'klang-a', '--wait', '--daemon', first.address])
+    const report = await runCommandLine(['drain', 'failure-domain', 'klang-a', '--wait', '--daemon', first.address])
     assert.equal(report.exitCode, ExitCode.Ok)
     assert.ok(rounds >= 4)
     assert.match(report.output, /^failure-domain klang-a: .*safe to stop the machines$/)
@@ -54,7 +54,7 @@
     const [first] = await openDaemons(1)
     assert.ok(first !== undefined)
     setFleet(first, [buildNode('n1', first.address), buildNode('n2', CLOSED_ADDRESS)])
-    const clock = new LeapingClock()
+    const clock = new AdjustableClock()
     let rounds = 0
     first.answers.set('/v1/drains', () => {
       rounds += 1
@@ -62,10 +62,10 @@
       return { drains: [{ target: 'klang-a', kind: 'failure-domain', weight: 0, inFlight: 0, isSafeToStop: true }] }
     })
     const line = ['drain', 'failure-domain', 'klang-a', '--wait', '--daemon', first.address, '--json']
-    const blocked = await runLine(line, {}, clock)
+    const blocked = await runCommandLine(line, {}, clock)
     assert.equal(blocked.exitCode, ExitCode.NotYet)
     assert.match((JSON.parse(blocked.errors) as { error: { message: string } }).error.message, /no answer from n2/)
-    const vouched = await runLine([...line, '--allow-unreachable'])
+    const vouched = await runCommandLine([...line, '--allow-unreachable'])
     assert.equal(vouched.exitCode, ExitCode.Ok)
     const { progress } = JSON.parse(vouched.output) as { progress: Record<string, unknown> }
     assert.deepEqual([progress.isDone, progress.unreachable], [true, ['n2']])
@@ -83,7 +83,7 @@
     }
     first.answers.set('/v1/burn', () => build(990, 0))
     second.answers.set('/v1/burn', () => build(990, 20))
-    const json = await runLine(['report', 'burn', '--daemon', first.address, '--json'])
+    const json = await runCommandLine(['report', 'burn', '--daemon', first.address, '--json'])
     assert.equal(json.exitCode, ExitCode.Ok)
     const report = JSON.parse(json.output) as { nodesAsked: number, nodesAnswered: number, unreachable: string[], services: Record<string, { windows: Record<string, { errorRate: number, burnRate: number }>, errorBudgetLeft: number }> }
     assert.deepEqual([report.nodesAsked, report.nodesAnswered, report.unreachable], [3, 2, ['n3']])
@@ -91,9 +91,9 @@
     assert.equal(billing?.windows['5m']?.errorRate, 0.01)
     assert.ok(Math.abs((billing?.windows['6h']?.burnRate ?? 0) - 1) < 1e-9)
     assert.ok(Math.abs(billing?.errorBudgetLeft ?? 1) < 1e-9)
-    const text = await runLine(['report', 'burn', '--service', 'billing-svc', '--daemon', first.address])
+    const text = await runCommandLine(['report', 'burn', '--service', 'billing-svc', '--daemon', first.address])
     assert.match(text.output, /counts of 2 of 3 nodes; without n3\nSERVICE .*BUDGET LEFT\nbilling-svc {2}99\.000% in 500 ms/)
-    const unknown = await runLine(['report', 'burn', '--service', 'no-svc', '--daemon', first.address])
+    const unknown = await runCommandLine(['report', 'burn', '--service', 'no-svc', '--daemon', first.address])
     assert.equal(unknown.exitCode, ExitCode.Refused)
   })
 
@@ -113,10 +113,10 @@
       [['lookup', '--service', 'billing-svc', '--client-address', '198.51.100.7'], (document) => document.region, 'klang']
     ]
     for (const [line, read, expected] of lines) {
-      const report = await runLine([...line, '--daemon', first.address, '--json'])
+      const report = await runCommandLine([...line, '--daemon', first.address, '--json'])
       assert.equal(report.exitCode, ExitCode.Ok, line.join(' '))
       assert.deepEqual(read(JSON.parse(report.output) as Record<string, unknown>), expected, line.join(' '))
-      const plain = await runLine([...line, '--daemon', first.address])
+      const plain = await runCommandLine([...line, '--daemon', first.address])
       assert.equal(plain.exitCode, ExitCode.Ok)
       assert.notEqual(plain.output, '')
     }
@@ -129,13 +129,13 @@
 
   it('has help with examples on every command, and completion', async () => {
     for (const command of commands) {
-      const report = await runLine([...command, '--help'])
+      const report = await runCommandLine([...command, '--help'])
       assert.equal(report.exitCode, ExitCode.Ok, command.join(' '))
       assert.match(report.output, /Examples:/, command.join(' '))
     }
-    assert.match((await runLine(['completion'])).output, /--get-yargs-completions/)
-    assert.match((await runLine(['--get-yargs-completions', 'umberspar', 'config', ''])).output, /history/)
-    assert.match((await runLine(['--version'])).output, /^\d+\.\d+\.\d+$/)
+    assert.match((await runCommandLine(['completion'])).output, /--get-yargs-completions/)
+    assert.match((await runCommandLine(['--get-yargs-completions', 'umberspar', 'config', ''])).output, /history/)
+    assert.match((await runCommandLine(['--version'])).output, /^\d+\.\d+\.\d+$/)
   })
 
   it('ends with exit code 2 and sends nothing for a wrong line', async () => {
@@ -146,21 +146,21 @@
       ['status', '--nonsense'], ['status', '--timeout', '0'], ['lookup', '--service', 'billing-svc', '--client-address', 'here']
     ]
     for (const line of wrong) {
-      const report = await runLine([...line, '--daemon', first?.address ?? '', '--json'])
+      const report = await runCommandLine([...line, '--daemon', first?.address ?? '', '--json'])
       assert.equal(report.exitCode, ExitCode.Usage, line.join(' '))
       assert.equal((JSON.parse(report.errors) as { error: { code: string } }).error.code, 'usage')
     }
-    assert.equal((await runLine(['status'])).exitCode, ExitCode.Usage)
-    assert.deepEqual(first?.asked, [])
+    assert.equal((await runCommandLine(['status'])).exitCode, ExitCode.Usage)
+    assert.deepEqual(first?.requestLines, [])
   })
 
   it('checks a whole configuration without a daemon', async () => {
     const file = fileURLToPath(new URL('../../../package.json', import.meta.url))
-    const report = await runLine(['config', 'validate', '--file', file, '--json'])
+    const report = await runCommandLine(['config', 'validate', '--file', file, '--json'])
     assert.equal(report.exitCode, ExitCode.Refused)
     const { valid, problems } = JSON.parse(report.output) as { valid: boolean, problems: Array<{ path: string }> }
     assert.equal(valid, false)
     assert.ok(problems.some((problem) => problem.path === 'deployment'))
-    assert.equal((await runLine(['config', 'validate', '--file', `${file}.missing`])).exitCode, ExitCode.Refused)
+    assert.equal((await runCommandLine(['config', 'validate', '--file', `${file}.missing`])).exitCode, ExitCode.Refused)
   })
 })
--- a/packages/cli/test/node/patch.test.ts
+++ b/packages/cli/test/node/patch.test.ts
@@ -1,23 +1,23 @@
 import assert from 'node:assert/strict'
 import { afterEach, describe, it } from 'node:test'
 import { ExitCode } from '../../src/common/exitCode.js'
-import { answerJson, applyChange, createStore, FakeDaemon, LeapingClock, runLine } from './fakeFleet.js'
+import { answerJson, applyChange, createStore, FakeDaemon, AdjustableClock, runCommandLine } from './fakeFleet.js'
 import type { FakeStore } from './fakeFleet.js'
 
-const opened: FakeDaemon[] = []
+const openedDaemons: FakeDaemon[] = []
 
 async function openDaemon (store: FakeStore): Promise<FakeDaemon> {
   const daemon = await new FakeDaemon(store).open()
-  opened.push(daemon)
+  openedDaemons.push(daemon)
   return daemon
 }
 
 afterEach(async () => {
-  for (const daemon of opened.splice(0)) await daemon.close()
+  for (const daemon of openedDaemons.splice(0)) await daemon.close()
 })
 
-function buildPatchLine (daemons: readonly string[], ...more: string[]): string[] {
-  return ['config', 'patch', '--base', '7', '--set', 'lookupCacheMs=3000', ...daemons.flatMap((address) => ['--daemon', address]), ...more]
+function buildPatchLine (daemons: readonly string[], ...extraArguments: string[]): string[] {
+  return ['config', 'patch', '--base', '7', '--set', 'lookupCacheMs=3000', ...daemons.flatMap((address) => ['--daemon', address]), ...extraArguments]
 }
 
 describe('config patch', () => {
@@ -26,14 +26,14 @@
     // The daemon refuses; the operator must see which versions and fields clash,
     // and nothing may be sent a second time.
     const daemon = await openDaemon(createStore(8, {}))
-    const plain = await runLine(buildPatchLine([daemon.address]))
+    const plain = await runCommandLine(buildPatchLine([daemon.address]))
     assert.equal(plain.exitCode, ExitCode.Conflict)
     assert.match(plain.errors, /made against version: 7/)
     assert.match(plain.errors, /present version: {6}8/)
     assert.match(plain.errors, /conflicting paths: {4}lookupCacheMs/)
     assert.match(plain.errors, /step send-patch, peer 127\.0\.0\.1:/)
     assert.equal(daemon.patches.length, 1)
-    const json = await runLine(buildPatchLine([daemon.address], '--json'))
+    const json = await runCommandLine(buildPatchLine([daemon.address], '--json'))
     const { error } = JSON.parse(json.errors) as { error: Record<string, unknown> }
     assert.equal(json.output, '')
     assert.deepEqual([error.code, error.exitCode, error.baseVersion, error.currentVersion, error.conflictingPaths], ['conflict', 4, 7, 8, ['lookupCacheMs']])
@@ -53,12 +53,12 @@
       response.destroy()
       return true
     }
-    const report = await runLine(buildPatchLine([first.address, second.address], '--json'))
+    const report = await runCommandLine(buildPatchLine([first.address, second.address], '--json'))
     assert.equal(report.exitCode, ExitCode.Ok)
     assert.deepEqual(JSON.parse(report.output), { version: 8, changeId: 'id-1', isSettledLater: true })
     assert.equal(first.patches.length, 1)
     assert.equal(second.patches.length, 0)
-    assert.deepEqual(second.asked, ['GET /v1/config', 'GET /v1/config/history'])
+    assert.deepEqual(second.requestLines, ['GET /v1/config', 'GET /v1/config/history'])
   })
 
   it('settles a lost answer as a conflict when another change became the next version', async () => {
@@ -71,7 +71,7 @@
       response.destroy()
       return true
     }
-    const report = await runLine(buildPatchLine([daemon.address]))
+    const report = await runCommandLine(buildPatchLine([daemon.address]))
     assert.equal(report.exitCode, ExitCode.Conflict)
     assert.match(report.errors, /id-1 did not take effect: another change became version 8/)
     assert.equal(daemon.patches.length, 1)
@@ -81,14 +81,14 @@
     // The daemon loses the store's answer and says that the outcome is unknown;
     // no daemon shows a version beyond the base until the deadline.
     const daemon = await openDaemon(createStore(7, {}))
-    const clock = new LeapingClock()
+    const clock = new AdjustableClock()
     daemon.override = (request, response, shared, received) => {
-      if (daemon.asked.length === 7) clock.setPastDeadlines()
+      if (daemon.requestLines.length === 7) clock.setPastDeadlines()
       if (received === undefined) return false
       answerJson(response, 504, { title: 'effect-unknown', detail: 'the store gave no answer', outcome: 'unknown' })
       return true
     }
-    const report = await runLine(buildPatchLine([daemon.address]), {}, clock)
+    const report = await runCommandLine(buildPatchLine([daemon.address]), {}, clock)
     assert.equal(report.exitCode, ExitCode.EffectUnknown)
     assert.match(report.errors, /change id-1 against version 7 may or may not have taken effect/)
     assert.equal(daemon.patches.length, 1)
@@ -106,11 +106,11 @@
       return true
     }
     const third = await openDaemon(store)
-    const report = await runLine(['config', 'patch', '--base', '7', '--set', 'lookupCacheMs=3000'], { UMBERSPAR_DAEMONS: `${down.address}, ${cut.address},${third.address}` })
+    const report = await runCommandLine(['config', 'patch', '--base', '7', '--set', 'lookupCacheMs=3000'], { UMBERSPAR_DAEMONS: `${down.address}, ${cut.address},${third.address}` })
     assert.equal(report.exitCode, ExitCode.Ok)
     assert.equal(report.output, 'accepted as version 8, change id-1')
     assert.deepEqual(third.patches, [{ baseVersion: 7, changeId: 'id-1', patch: { lookupCacheMs: 3000 }, note: '' }])
-    const none = await runLine(['status', '--daemon', down.address, '--json'])
+    const none = await runCommandLine(['status', '--daemon', down.address, '--json'])
     assert.equal(none.exitCode, ExitCode.Unreachable)
     assert.equal((JSON.parse(none.errors) as { error: { peer: string } }).error.peer, down.address)
   })
@@ -130,11 +130,11 @@
       applyChange(shared, { changeId: 'colleague', note: '', patch: { drains: { failureDomains: ['klang-a', 'penang-a'] } } })
       return false
     }
-    const report = await runLine(['drain', 'failure-domain', 'penang-b', '--daemon', daemon.address, '--json'])
+    const report = await runCommandLine(['drain', 'failure-domain', 'penang-b', '--daemon', daemon.address, '--json'])
     assert.equal(report.exitCode, ExitCode.Ok)
     assert.deepEqual(store.body.drains, { failureDomains: ['klang-a', 'penang-a', 'penang-b'] })
     assert.deepEqual(daemon.patches.map((patch) => [patch.baseVersion, patch.changeId]), [[7, 'id-1'], [8, 'id-2']])
-    const again = await runLine(['drain', 'failure-domain', 'penang-b', '--daemon', daemon.address, '--json'])
+    const again = await runCommandLine(['drain', 'failure-domain', 'penang-b', '--daemon', daemon.address, '--json'])
     assert.deepEqual(JSON.parse(again.output), { direction: 'drain', kind: 'failure-domain', target: 'penang-b', version: 9, isChanged: false })
   })
 
@@ -144,9 +144,9 @@
       if (received !== undefined) applyChange(shared, { changeId: `colleague-${shared.version}`, note: '', patch: {} })
       return false
     }
-    const report = await runLine(['undrain', 'place', 'billing-svc', 'klang-a', '--daemon', daemon.address])
+    const report = await runCommandLine(['undrain', 'place', 'billing-svc', 'klang-a', '--daemon', daemon.address])
     assert.equal(report.exitCode, ExitCode.Ok)
-    const raced = await runLine(['drain', 'place', 'billing-svc', 'klang-a', '--daemon', daemon.address])
+    const raced = await runCommandLine(['drain', 'place', 'billing-svc', 'klang-a', '--daemon', daemon.address])
     assert.equal(raced.exitCode, ExitCode.Conflict)
     assert.equal(daemon.patches.length, 5)
     assert.deepEqual(daemon.patches[0]?.patch, { drains: { places: [{ service: 'billing-svc', failureDomain: 'klang-a' }] } })
