--- a/packages/cli/src/common/burnFormat.ts
+++ b/packages/cli/src/common/burnFormat.ts
@@ -1,4 +1,4 @@
-/** The service-level burn report of the whole fleet: decoding, document and text. */
+/** The fleet-wide error budget report (`report burn`): decodes the nodes' counts, merges them and formats the result. */
 import { BURN_WINDOWS, BurnWindow } from '@umberspar/steering/common/burn/burnCounter'
 import type { BurnCounts } from '@umberspar/steering/common/burn/burnCounter'
 import { buildBurnReport } from '@umberspar/steering/common/burn/burnReport'
@@ -10,7 +10,7 @@
 export interface BurnDocument extends BurnReport {
   readonly nodesAsked: number
   readonly nodesAnswered: number
-  /** Ids of nodes whose counts are missing from the report. */
+  /** Ids of nodes that did not answer, so their counts are missing from the report. */
   readonly unreachable: readonly string[]
 }
 
@@ -39,7 +39,10 @@
   return { objective: { target, latencyMs }, windows, total }
 }
 
-/** Decodes what one node counted; undefined if any service's counts can't be read. */
+/**
+ * @param value a node's answer
+ * @returns the node's counts, or undefined if the counts of any service can't be decoded
+ */
 export function decodeNodeBurn (value: unknown): NodeBurn | undefined {
   if (!isJsonObject(value) || !isJsonObject(value.services)) return undefined
   const services: Record<string, ServiceBurn> = {}
@@ -52,9 +55,9 @@
 }
 
 /**
- * @param answers one for each node asked; `burn` is undefined if it gave none
- * @param service only this service, if given
- * @returns the merged report
+ * @param answers one for each node asked; `burn` is undefined if the node did not answer
+ * @param service limits the report to this service, if given
+ * @returns the counts of all nodes that answered, merged
  */
 export function buildBurnDocument (
   answers: ReadonlyArray<{ readonly nodeId: string, readonly burn: NodeBurn | undefined }>,
@@ -86,7 +89,7 @@
 
 /**
  * @param document the merged report
- * @returns a line and a table
+ * @returns a summary line and a table with one row for each service
  */
 export function formatBurn (document: BurnDocument): string {
   const missing = document.unreachable.length === 0 ? '' : `; without ${document.unreachable.join(', ')}`
--- a/packages/cli/src/common/configFormat.ts
+++ b/packages/cli/src/common/configFormat.ts
@@ -1,8 +1,8 @@
-/** Text of the `config` commands. */
+/** Builds and formats the output of `config status` and `config history`. */
 import type { FleetNode, HistoryEntry } from './operatorMessages.js'
 import { Align, formatTable } from './tableFormat.js'
 
-/** The version in force at one node; `version` is undefined if it did not answer. */
+/** The configuration version in force at one node; `version` is undefined if the node did not answer. */
 export interface NodeVersion {
   readonly node: FleetNode
   readonly version: number | undefined
@@ -10,9 +10,9 @@
 
 /** The JSON document of `config status`. */
 export interface ConfigurationStatus {
-  /** The highest version that any node or the asked daemon names. */
+  /** The highest version that any node, or the daemon that listed the fleet, reports. */
   readonly highestVersion: number
-  /** Every node answered, with the highest version. */
+  /** Whether every node answered and reports the highest version. */
   readonly isInForceEverywhere: boolean
   readonly nodes: ReadonlyArray<{
     readonly nodeId: string
@@ -20,14 +20,14 @@
     readonly failureDomain: string
     readonly state: string
     readonly hasAnswered: boolean
-    /** The node's own word, or the asked daemon's if the node did not answer. */
+    /** As reported by the node itself, or by the daemon that listed the fleet if the node did not answer. */
     readonly configurationVersion: number
   }>
 }
 
 /**
  * @param answers one for each node of the fleet
- * @returns the sum over the fleet
+ * @returns the status of the whole fleet
  */
 export function buildConfigurationStatus (answers: readonly NodeVersion[]): ConfigurationStatus {
   const nodes = answers.map(({ node, version }) => ({
@@ -44,8 +44,8 @@
 }
 
 /**
- * @param status the sum over the fleet
- * @returns a line and a table
+ * @param status the status of the whole fleet
+ * @returns a summary line and a table with one row for each node
  */
 export function formatConfigurationStatus (status: ConfigurationStatus): string {
   const { nodes, highestVersion } = status
@@ -62,8 +62,8 @@
 }
 
 /**
- * @param entries accepted changes
- * @returns a table, the newest first
+ * @param entries accepted changes, in the order to print them
+ * @returns a table with one row for each change
  */
 export function formatHistory (entries: readonly HistoryEntry[]): string {
   const rows = entries.map((entry) => [
--- a/packages/cli/src/common/drainPrediction.ts
+++ b/packages/cli/src/common/drainPrediction.ts
@@ -1,12 +1,13 @@
-/** What a daemon predicts of a drain, and how it is shown. */
+/** Decodes and formats a daemon's prediction of the effect of a drain. */
 import type { PredictedPlace, PredictedStep } from '@umberspar/steering/common/plan/predictDrain'
 import { isJsonObject } from './jsonValue.js'
 import { Align, formatTable } from './tableFormat.js'
 
-/** A daemon's prediction as the client shows it: of each reason only its sentence. */
+/** A daemon's prediction, reduced to what the client shows: of each reason it keeps only the message. */
 export interface DrainPrediction {
+  /** Whether the remaining capacity is enough for the current demand. */
   readonly fits: boolean
-  /** Sentences that say why it does not fit. */
+  /** Messages that say why the capacity is not enough. */
   readonly reasons: readonly string[]
   readonly steps: readonly PredictedStep[]
   readonly places: readonly PredictedPlace[]
@@ -21,7 +22,7 @@
 
 /**
  * @param value a daemon's answer
- * @returns the prediction, or undefined if it is none
+ * @returns the prediction, or undefined if the answer is not one
  */
 export function decodePrediction (value: unknown): DrainPrediction | undefined {
   if (!isJsonObject(value) || typeof value.fits !== 'boolean' || typeof value.totalMs !== 'number') return undefined
@@ -62,11 +63,11 @@
 }
 
 /**
- * @param prediction what a daemon said
- * @returns text for operators
+ * @param prediction a daemon's prediction
+ * @returns lines for operators: summary, reasons, steps and load by service and failure domain
  */
 export function formatPrediction (prediction: DrainPrediction): string {
-  const summary = prediction.fits ? `it fits; about ${prediction.totalMs} ms, plus requests that run longer` : 'it does not fit the present demand:'
+  const summary = prediction.fits ? `the remaining capacity is enough; the drain takes about ${prediction.totalMs} ms, or longer if requests in flight do` : 'the remaining capacity is not enough for the current demand:'
   const steps = prediction.steps.length === 0 ? 'no traffic would move' : formatSteps(prediction)
   return [summary, ...prediction.reasons.map((reason) => `  ${reason}`), steps, formatPlaces(prediction)].join('\n')
 }
--- a/packages/cli/src/common/drainProgress.ts
+++ b/packages/cli/src/common/drainProgress.ts
@@ -1,49 +1,49 @@
-/** How far a drain is, from what every node of the fleet says. */
+/** Computes and formats the progress of a drain over all nodes of the fleet. */
 import { DrainDirection, getTargetName } from './drainTarget.js'
 import type { DrainTarget } from './drainTarget.js'
 import type { FleetNode, NodeDrain } from './operatorMessages.js'
 
-/** One node's answer; `drains` is undefined if it gave none. */
+/** The drains that one node reports; `drains` is undefined if the node did not answer. */
 export interface NodeDrains {
   readonly node: FleetNode
   readonly drains: readonly NodeDrain[] | undefined
 }
 
-/** The fleet's progress with one target. */
+/** The progress of draining or undraining one target, over the whole fleet. */
 export interface DrainProgress {
   readonly nodesAsked: number
   readonly nodesAnswered: number
-  /** Nodes that agree with the wanted end. */
+  /** Number of nodes that report the drain or undrain as complete. */
   readonly nodesDone: number
-  /** Ids of nodes that gave no answer. */
+  /** Ids of nodes that did not answer. */
   readonly unreachable: readonly string[]
-  /** Ids of nodes that keep the end from being reached. */
+  /** Ids of nodes that still have to complete. */
   readonly waitingFor: readonly string[]
-  /** The largest part of traffic that a node still plans to send there, 0 to 1. */
+  /** The largest share of traffic that any node still plans to send to the target, 0 to 1. */
   readonly largestWeight: number
-  /** Requests in flight there, over all nodes that answered. */
+  /** Requests in flight to the target, summed over all nodes that answered. */
   readonly inFlight: number
   readonly isDone: boolean
 }
 
 /**
- * States in which the other daemons no longer count on a node. Any other node
- * may still be sending to the target although this client can't reach it, so
- * it keeps the target from being called safe to stop.
+ * States of nodes that the other daemons treat as failed. A node in any other state
+ * may still be sending to the target although this client can't reach it, so the
+ * drain is not complete until that node answers.
  */
 const EXCLUDED_STATES: ReadonlySet<string> = new Set(['suspected', 'gone'])
 
 const IS_DONE_BY_DIRECTION: Readonly<Record<DrainDirection, (drain: NodeDrain | undefined) => boolean>> = {
-  // A node that does not list the drain has not adopted it yet and still sends.
+  // A node that does not list the drain has not adopted it yet and still sends traffic to the target.
   [DrainDirection.Drain]: (drain) => drain?.isSafeToStop === true,
   [DrainDirection.Undrain]: (drain) => drain === undefined
 }
 
-/** What is waited for. */
+/** What to wait for. */
 export interface DrainWaitOptions {
   readonly target: DrainTarget
   readonly direction: DrainDirection
-  /** The operator vouches that nodes without an answer send nothing. */
+  /** Whether to ignore nodes that don't answer; the operator has made sure that they are stopped. */
   readonly isUnreachableAllowed: boolean
 }
 
@@ -52,9 +52,9 @@
 }
 
 /**
- * @param options what is waited for
+ * @param options what to wait for
  * @param answers one for each node of the fleet
- * @returns the sum over the fleet
+ * @returns the progress over the whole fleet
  */
 export function computeDrainProgress (options: DrainWaitOptions, answers: readonly NodeDrains[]): DrainProgress {
   const { target, direction } = options
@@ -90,10 +90,10 @@
 
 /**
  * @param progress the fleet's progress
- * @returns one line
+ * @returns a summary line
  */
 export function formatDrainProgress (progress: DrainProgress): string {
   const { nodesDone, nodesAsked, largestWeight, inFlight, unreachable } = progress
   const missing = unreachable.length === 0 ? '' : `, no answer from ${unreachable.join(', ')}`
-  return `${nodesDone} of ${nodesAsked} nodes done, largest planned part ${largestWeight.toFixed(3)}, ${inFlight} in flight${missing}`
+  return `${nodesDone} of ${nodesAsked} nodes done, largest planned share ${largestWeight.toFixed(3)}, ${inFlight} in flight${missing}`
 }
--- a/packages/cli/src/common/drainTarget.ts
+++ b/packages/cli/src/common/drainTarget.ts
@@ -1,8 +1,8 @@
-/** What can be drained, and the patch that adds it to or removes it from `drains`. */
+/** The targets of a drain, and the patch that adds a target to the configuration's `drains` or removes it. */
 import { isJsonObject, toText, toTexts } from './jsonValue.js'
 import type { JsonObject } from './jsonValue.js'
 
-/** What kind of thing is drained; the values are those of the wire. */
+/** The kind of a drain's target; the values are those of the operators' API. */
 export enum DrainKind {
   FailureDomain = 'failure-domain',
   Region = 'region',
@@ -10,7 +10,7 @@
   Place = 'place'
 }
 
-/** Whether traffic is to leave or to come back. */
+/** Whether to move traffic away from the target or back to it. */
 export enum DrainDirection {
   Drain = 'drain',
   Undrain = 'undrain'
@@ -22,6 +22,7 @@
   | { readonly kind: DrainKind.Region, readonly name: string }
   | { readonly kind: DrainKind.Place, readonly service: string, readonly failureDomain: string }
 
+/** An element of one of the arrays in the configuration's `drains`. */
 type DrainElement = string | { readonly service: string, readonly failureDomain: string }
 
 /** The field of `drains` that lists targets of a kind. */
@@ -55,8 +56,8 @@
 }
 
 /**
- * @param target what is drained
- * @returns its name as `/v1/drains` gives it: a place is `SERVICE/FAILURE-DOMAIN`
+ * @param target the target of a drain
+ * @returns its name as in the answer of `/v1/drains`; a place is `SERVICE/FAILURE-DOMAIN`
  */
 export function getTargetName (target: DrainTarget): string {
   return getElementName(getElement(target))
@@ -69,12 +70,12 @@
 
 /**
  * Builds the JSON Merge Patch for one target. RFC 7396 replaces an array as a
- * whole, so the patch holds the whole new array of the target's kind; it is
- * right only against the version whose body is given.
+ * whole, so the patch holds the complete new array for the target's kind and is
+ * correct only against the version of the given body.
  * @param body the configuration that the patch is made against
  * @param target what to drain or undrain
- * @param direction which of the two
- * @returns the patch, or undefined if the configuration already says so
+ * @param direction whether to drain or undrain it
+ * @returns the patch, or undefined if the target is already drained or undrained as wanted
  */
 export function buildDrainPatch (body: JsonObject, target: DrainTarget, direction: DrainDirection): JsonObject | undefined {
   const drains = isJsonObject(body.drains) ? body.drains : {}
--- a/packages/cli/src/common/errorFormat.ts
+++ b/packages/cli/src/common/errorFormat.ts
@@ -1,4 +1,4 @@
-/** Errors as operators read them, and as scripts do. */
+/** Formats errors as text for operators and as JSON for scripts. */
 import type { StepError } from '@umberspar/base/common/errors'
 import type { ExitCode } from './exitCode.js'
 import { OperatorError } from './operatorError.js'
@@ -9,28 +9,28 @@
 
 /** The `error` member of the JSON error document. */
 export interface ErrorDocument {
-  /** An ErrorCode of base, or `usage`. */
+  /** One of the error codes in the base package, or `usage`. */
   readonly code: string
   readonly exitCode: ExitCode
   readonly step: string
   readonly peer: string
   readonly message: string
-  /** Only where the daemon refused a patch made against a stale version. */
+  /** The version that the refused patch was made against. This and the next two are present only if that version was stale. */
   readonly baseVersion?: number
   readonly currentVersion?: number
   readonly conflictingPaths?: readonly string[]
-  /** Only where a configuration broke rules. */
+  /** Present only if a configuration is invalid. */
   readonly problems?: readonly FieldProblem[]
 }
 
 /**
- * @param problems fields that break rules
- * @returns one line each
+ * @param problems invalid fields
+ * @returns one line for each
  */
 export function formatProblems (problems: readonly FieldProblem[]): readonly string[] {
   return problems.map((problem) => {
     const path = problem.path === '' ? '(whole document)' : problem.path
-    // A message that tells what is expected names it in the same words; it is not told twice.
+    // Most messages already contain the expectation word for word; don't repeat it.
     const expected = problem.message.includes(problem.expected) ? '' : ` (expected ${problem.expected})`
     return `  ${path}: ${problem.message}${expected}`
   })
@@ -42,13 +42,13 @@
 
 function formatVersions (problem: OperatorProblem): readonly string[] {
   if (problem.currentVersion === undefined) return []
-  const lines = [`  made against version: ${problem.baseVersion ?? 'not stated'}`, `  present version:      ${problem.currentVersion}`]
+  const lines = [`  made against version: ${problem.baseVersion ?? 'not stated'}`, `  current version:      ${problem.currentVersion}`]
   if (problem.conflictingPaths.length === 0) return lines
   return [...lines, `  conflicting paths:    ${problem.conflictingPaths.join(', ')}`]
 }
 
 /**
- * @param error what failed
+ * @param error the error to print
  * @returns lines for standard error
  */
 export function formatError (error: StepError): string {
@@ -59,8 +59,8 @@
 }
 
 /**
- * @param error what failed
- * @param exitCode how the process ends
+ * @param error the error to print
+ * @param exitCode the exit code of the process
  * @returns the `error` member of the JSON error document
  */
 export function buildErrorDocument (error: StepError, exitCode: ExitCode): ErrorDocument {
--- a/packages/cli/src/common/exitCode.ts
+++ b/packages/cli/src/common/exitCode.ts
@@ -1,22 +1,22 @@
-/** How the process ends; docs/operators/EXIT-CODES.md explains each code to operators. */
+/** Exit codes of the process; docs/operators/EXIT-CODES.md explains each of them to operators. */
 import { ErrorCode } from '@umberspar/base/common/errors'
 
-/** The exit codes of `umberspar`; scripts rely on the numbers, so they never change. */
+/** The exit codes of `umberspar`. The numbers never change, because scripts rely on them. */
 export enum ExitCode {
   Ok = 0,
-  /** A fault of this program or an answer it can't read. */
+  /** An internal error, or an answer that this client can't decode. */
   Internal = 1,
-  /** The command line is wrong; nothing was sent. */
+  /** The command line is invalid; nothing was sent. */
   Usage = 2,
-  /** The change, file or thing asked for is not valid or does not exist. */
+  /** The daemon refused the command, or the change, file or item that it names is invalid or does not exist. */
   Refused = 3,
-  /** Another change came first. */
+  /** Another change was accepted first. */
   Conflict = 4,
   /** No daemon could be reached; nothing took effect. */
   Unreachable = 5,
-  /** A change was sent and its answer lost; it may have taken effect. */
+  /** A change was sent but its answer was lost; the change may have taken effect. */
   EffectUnknown = 6,
-  /** What was waited for had not come by the deadline. */
+  /** The command did not complete before its deadline. */
   NotYet = 7
 }
 
@@ -34,7 +34,7 @@
 }
 
 /**
- * @param code the kind of failure
+ * @param code the code of the error
  * @returns the exit code that reports it
  */
 export function getExitCode (code: ErrorCode): ExitCode {
--- a/packages/cli/src/common/explainRequest.ts
+++ b/packages/cli/src/common/explainRequest.ts
@@ -1,72 +1,74 @@
 /**
- * One request's history from the log lines of all entry VMs, with what each of
- * them believed at the time, and what follows from its end.
+ * Reconstructs the history of one request from the log lines of all entry VMs: each step
+ * with the state of its VM at that time, and a conclusion drawn from the request's outcome.
+ * In these logs an upstream server is called a worker.
  */
 import { compareLogLines, type LogLine } from './logLines.js'
 
-/** One step of the request. */
+/** One step of the request, with the latest earlier line of the same VM on each part of its state. */
 export interface ExplainedStep {
   readonly line: LogLine
-  /** What the same VM had last told of the worker that the step names. */
+  /** The VM's last change of its view of the worker that the step names. */
   readonly worker: LogLine | undefined
-  /** The configuration that the same VM had last adopted. */
+  /** The VM's last adoption of a configuration. */
   readonly configuration: LogLine | undefined
-  /** What the same VM had last told of the store. */
+  /** The VM's last line about its connection to the store. */
   readonly store: LogLine | undefined
-  /** What the same VM had last told of the way that its records take. */
+  /** The VM's last choice of the source from which it receives its records. */
   readonly source: LogLine | undefined
 }
 
-/** The history. */
+/** The history of a request. */
 export interface Explanation {
   readonly requestId: string
   readonly steps: readonly ExplainedStep[]
-  /** What follows from how it ended. */
+  /** What the outcome means, and which log lines to look at next. */
   readonly conclusion: string
 }
 
 const CONCLUSION_BY_REASON: Readonly<Record<string, string>> = {
-  none: 'A worker\'s own answer was passed on.',
-  'no-configuration': 'Refused, not run: the VM had just started and had read no configuration yet. Look for the store\'s lines around its start.',
-  'no-route': 'The configuration in force at this VM has no route for the host and path. Compare its version with the newest.',
-  'key-unknown': 'No client account of the configuration in force at this VM holds the caller\'s key, or the caller sent none, several, or one that cannot be read. proofAgeMs tells how long ago these records were surely the newest.',
-  'records-stale': 'Refused, not run: this VM could not prove that its records are new enough to let a key run, or to say that a key or a path is unknown (proofAgeMs). Look at the lines on the store and on the way of its records before it.',
-  'no-home': 'Refused, not run: the homes of the route and of the client account have no region in common.',
-  'quota-spent': 'Refused, not run: all keepers of the client account\'s quota that answered had nothing left. If the account sends less than its quota, look for keepers that changed (claim-share, share-freed) before it.',
-  'quota-unknown': 'Refused, not run: a keeper of the account\'s quota did not answer and the others had nothing left. Look for share-freed and share-claimed lines before it.',
-  'head-too-large': 'The head is longer than the operator allows.',
-  'body-too-large': 'The body is longer than the operator allows.',
-  'body-late': 'Refused, not run: the caller did not send its body in time.',
-  'bodies-full': 'Refused, not run: bodies in memory are at their bound (a burst of uploads, or callers that stall).',
-  'no-worker': 'Refused, not run: the VM believed that no worker may take it. Look at the lines on workers joining, leaving and evacuations before it, and at their age.',
-  'rate-limited': 'Refused, not run: no worker may take it, and some only because of the rate limits that they name (limit-rate lines). Retry-After tells when one has room for this VM.',
-  'too-late': 'Refused, not run: the best worker was expected to answer after the time limit. Its wait, held requests and slowness stand on the last offers to that service.',
-  'workers-refused': 'Refused, not run: the workers that got it said that they did not run it; they were full, or are leaving.',
-  quarantined: 'Refused, not run: workers crashed under this request before (quarantine-request lines name its digest and the workers). Find out what in it crashes them; the quarantine ends by itself.',
-  'repeats-spent': 'It may have run and may be repeated, but the budget for repeats was spent.',
-  'worker-broke': 'A worker broke off or failed it after it may have run. The end of its last offer says how.',
-  'no-answer': 'No answer within the time limit; it may have run. Compare the offer\'s expected time with the limit: a worker that is slow, dark or full.',
-  'caller-left': 'The caller left before the answer was whole.'
+  none: 'The VM passed on the answer of a worker.',
+  'no-configuration': 'Refused, not run: the VM had just started and had not read a configuration yet. Look for log lines about the store around the start of the VM.',
+  'no-route': 'The configuration in force at this VM has no route for the host and path. Compare its version with the newest version.',
+  'key-unknown': 'No client account of the configuration in force at this VM has the caller\'s key, or the caller sent no key, several keys or an unreadable key. proofAgeMs is the time since these records were last confirmed to be the newest.',
+  'records-stale': 'Refused, not run: this VM could not confirm that its records are fresh enough to accept a key, or to reject a key or a path as unknown (see proofAgeMs). Look at earlier log lines about the store and about the source of the VM\'s records.',
+  'no-home': 'Refused, not run: the home regions of the route and those of the client account have no region in common.',
+  'quota-spent': 'Refused, not run: none of the VMs that hold shares of the client account\'s quota and answered had any left. If the account sends less than its quota, look for shares that moved to another VM before (claim-share, share-freed).',
+  'quota-unknown': 'Refused, not run: a VM that holds a share of the client account\'s quota did not answer, and the others had no quota left. Look for earlier share-freed and share-claimed lines.',
+  'head-too-large': 'The request head is larger than the configured limit.',
+  'body-too-large': 'The request body is larger than the configured limit.',
+  'body-late': 'Refused, not run: the caller did not send the request body in time.',
+  'bodies-full': 'Refused, not run: the memory for buffered request bodies was full (because of a burst of uploads, or callers that stall).',
+  'no-worker': 'Refused, not run: by the view of the VM, no worker may take it. Look at earlier log lines about workers that join or leave and about evacuations, and at their age.',
+  'rate-limited': 'Refused, not run: no worker may take it, some of them only because of the rate limits that they declared (see limit-rate lines). Retry-After says when one of them can accept a request from this VM again.',
+  'too-late': 'Refused, not run: even the best worker was expected to answer after the time limit. See waitMs, held and slowness of the last offers to that service.',
+  'workers-refused': 'Refused, not run: the workers that received it reported that they did not run it, because they were full or are leaving.',
+  quarantined: 'Refused, not run: workers crashed earlier while they ran this request (quarantine-request lines have its digest and the workers). Find out what in the request crashes them; the quarantine expires by itself.',
+  'repeats-spent': 'It may have run and may be retried, but the retry budget was exhausted.',
+  'worker-broke': 'A worker broke off or failed it after it may have run. The end of the last offer has the details.',
+  'no-answer': 'No answer within the time limit; it may have run. Compare the expected time of the offer with the limit; the worker may be slow, unresponsive or full.',
+  'caller-left': 'The caller disconnected before it had received the complete answer.'
 }
 
 /**
- * Gathers what concerns one request while lines are read one by one, so that files
- * of any length can be read.
+ * Collects the log lines of one request and those about the state of the VMs while the
+ * input is read line by line. All other lines are dropped, so log files may be larger than
+ * the memory.
  */
 export class RequestExplainer {
   private readonly requestLines: LogLine[] = []
   private readonly stateLines: LogLine[] = []
 
-  /** @param requestId whose history is told */
+  /** @param requestId the id of the request to explain */
   constructor (private readonly requestId: string) {}
 
-  /** @param line the next line, of any VM, in any order among VMs */
+  /** @param line the next line; lines of any VMs may come in any order */
   add (line: LogLine): void {
     if (line.fields.requestId === this.requestId) this.requestLines.push(line)
     else if (STATE_STEPS.has(line.step)) this.stateLines.push(line)
   }
 
-  /** @returns the history; without steps if no line names the request */
+  /** @returns the request's history, without steps if no line names the request */
   explain (): Explanation {
     this.requestLines.sort(compareLogLines)
     this.stateLines.sort(compareLogLines)
@@ -91,13 +93,14 @@
 
   private getConclusion (): string {
     const end = this.requestLines.findLast(({ step }) => step === 'end-request')
-    if (end === undefined) return this.requestLines.length === 0 ? 'No line names this request: it reached no entry VM, or its lines were dropped.' : 'It has not ended, or its process was killed before it did.'
-    const conclusion = CONCLUSION_BY_REASON[String(end.fields.reason)] ?? `It ended as ${String(end.fields.end)}.`
+    if (end === undefined) return this.requestLines.length === 0 ? 'No line names this request: it did not reach an entry VM, or its log lines were dropped.' : 'The request has not ended, or the entry process was killed before it ended.'
+    const conclusion = CONCLUSION_BY_REASON[String(end.fields.reason)] ?? `The request ended with outcome ${String(end.fields.end)}.`
     const isLate = Number(end.fields.spanMs) > Number(end.fields.goalMs)
     return isLate ? `${conclusion} It took ${String(end.fields.spanMs)} ms where ${String(end.fields.goalMs)} ms are the goal: compare expectedMs, waitMs and handChance of its offers.` : conclusion
   }
 }
 
+/** Log steps that record a change in a VM's state. */
 const STATE_STEPS: ReadonlySet<string> = new Set(['update-view', 'follow-store', 'choose-source'])
 
 function formatFields (fields: Readonly<Record<string, unknown>>): string {
@@ -108,13 +111,13 @@
 }
 
 function formatState (name: string, line: LogLine | undefined, requestTime: number): string {
-  if (line === undefined) return `    ${name}: nothing told before`
-  return `    ${name}: ${line.message}, ${formatFields(line.fields)}, told ${requestTime - line.time} ms earlier`
+  if (line === undefined) return `    ${name}: no earlier line`
+  return `    ${name}: ${line.message}, ${formatFields(line.fields)}; logged ${requestTime - line.time} ms earlier`
 }
 
 /**
  * @param explanation a request's history
- * @returns it as text
+ * @returns lines for operators
  */
 export function formatExplanation ({ requestId, steps, conclusion }: Explanation): string {
   const lines = [`request ${requestId}`]
--- a/packages/cli/src/common/fleetFormat.ts
+++ b/packages/cli/src/common/fleetFormat.ts
@@ -1,11 +1,11 @@
-/** Text of `status` and `lookup`. */
+/** Formats the output of `status` and `lookup`. */
 import type { LookupAnswer } from '@umberspar/steering/common/lookup/decideLookup'
 import type { FleetNode } from './operatorMessages.js'
 import { Align, formatTable } from './tableFormat.js'
 
 /**
- * @param nodes the fleet
- * @returns a table
+ * @param nodes the nodes of the fleet
+ * @returns a table with one row for each node
  */
 export function formatFleet (nodes: readonly FleetNode[]): string {
   const rows = nodes.map((node) => [
@@ -19,8 +19,8 @@
 }
 
 /**
- * @param answer a look-up's answer
- * @returns a line and a table
+ * @param answer the answer to a look-up
+ * @returns a summary line and a table with one row for each entry VM
  */
 export function formatLookup (answer: LookupAnswer): string {
   const first = `${answer.service} from region ${answer.region}, configuration version ${answer.configurationVersion}, may be cached for ${answer.cacheForMs} ms`
--- a/packages/cli/src/common/jsonValue.ts
+++ b/packages/cli/src/common/jsonValue.ts
@@ -1,11 +1,11 @@
-/** Reading of JSON that another process wrote: nothing is taken for granted. */
+/** Type-checked access to JSON values from other processes. */
 
 /** A JSON object. */
 export type JsonObject = Readonly<Record<string, unknown>>
 
 /**
  * @param value any value
- * @returns whether it is a JSON object, neither null nor an array
+ * @returns whether it is a JSON object (and not null or an array)
  */
 export function isJsonObject (value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value)
@@ -13,7 +13,7 @@
 
 /**
  * @param value any value
- * @returns the value if it is text
+ * @returns the value if it is a string, otherwise undefined
  */
 export function toText (value: unknown): string | undefined {
   return typeof value === 'string' ? value : undefined
@@ -21,7 +21,7 @@
 
 /**
  * @param value any value
- * @returns the value if it is a finite number
+ * @returns the value if it is a finite number, otherwise undefined
  */
 export function toNumber (value: unknown): number | undefined {
   return typeof value === 'number' && Number.isFinite(value) ? value : undefined
@@ -29,17 +29,17 @@
 
 /**
  * @param value any value
- * @returns its texts if it is an array, otherwise none
+ * @returns the strings among its elements if it is an array, otherwise an empty array
  */
 export function toTexts (value: unknown): readonly string[] {
   return Array.isArray(value) ? value.filter((item): item is string => typeof item === 'string') : []
 }
 
 /**
- * Decodes an array, all or nothing.
+ * Decodes an array. Fails as a whole if any element can't be decoded.
  * @param value any value
- * @param decodeItem decodes one element; undefined refuses it
- * @returns the elements, or undefined if the value is no array or an element was refused
+ * @param decodeItem decodes one element; returns undefined if it can't
+ * @returns the decoded elements, or undefined if the value is not an array or any element can't be decoded
  */
 export function decodeItems<T> (value: unknown, decodeItem: (item: unknown) => T | undefined): readonly T[] | undefined {
   if (!Array.isArray(value)) return undefined
--- a/packages/cli/src/common/logLines.ts
+++ b/packages/cli/src/common/logLines.ts
@@ -1,15 +1,16 @@
-/** Reads the JSON lines that entry processes write; docs/LOGGING.md lists their fields. */
+/** Parses the JSON log lines of entry processes; docs/LOGGING.md lists their fields. */
 
-/** One line. */
+/** A parsed log line. */
 export interface LogLine {
-  /** Milliseconds since 1970, by the VM's own clock. */
+  /** Milliseconds since 1970, by the clock of the VM. */
   readonly time: number
-  /** The process's count of its lines; orders lines of one millisecond. */
+  /** Counts the lines of the process; gives the order of lines written in the same millisecond. */
   readonly sequence: number
   /** The entry VM that wrote it. */
   readonly node: string
   readonly step: string
   readonly message: string
+  /** The fields of the line's context, without step, node and log level. */
   readonly fields: Readonly<Record<string, unknown>>
 }
 
@@ -20,8 +21,8 @@
 }
 
 /**
- * @param text one line; whatever a collector put before the JSON is passed over
- * @returns the line, or undefined if it is none of an entry process
+ * @param text one line; a prefix added by a log collector before the JSON is ignored
+ * @returns the parsed line, or undefined if it is not a log line of an entry process
  */
 export function parseLogLine (text: string): LogLine | undefined {
   const jsonStart = text.indexOf('{')
@@ -30,7 +31,7 @@
   try {
     value = JSON.parse(text.slice(jsonStart))
   } catch {
-    // Cut lines and lines of other programs stand among those of entry processes.
+    // The files may also contain truncated lines and lines of other programs.
     return undefined
   }
   const line = toRecord(value)
@@ -47,9 +48,10 @@
 }
 
 /**
- * @param left one line
- * @param right another
- * @returns their order in time; within one process by its own count
+ * Orders lines by time, and lines of one node by sequence number.
+ * @param left the first line
+ * @param right the second line
+ * @returns a negative number if the first line precedes the second, a positive one if it follows
  */
 export function compareLogLines (left: LogLine, right: LogLine): number {
   if (left.node === right.node) return left.sequence - right.sequence
--- a/packages/cli/src/common/operatorError.ts
+++ b/packages/cli/src/common/operatorError.ts
@@ -1,9 +1,9 @@
-/** A failed call to a daemon, with what the daemon said about it. */
+/** Errors of the client: failed calls to a daemon, and invalid command lines. */
 import { StepError } from '@umberspar/base/common/errors'
 import type { StepErrorDetails } from '@umberspar/base/common/errors'
 import type { OperatorProblem } from './operatorMessages.js'
 
-/** A StepError that carries the daemon's problem document, if there was one. */
+/** A failed call to a daemon, with the problem document that the daemon returned, if any. */
 export class OperatorError extends StepError {
   readonly problem: OperatorProblem | undefined
 
@@ -14,7 +14,7 @@
   }
 }
 
-/** A command line that can't be carried out; nothing was sent. */
+/** An invalid command line; nothing was sent. */
 export class UsageError extends Error {
   constructor (message: string) {
     super(message)
--- a/packages/cli/src/common/operatorMessages.ts
+++ b/packages/cli/src/common/operatorMessages.ts
@@ -1,6 +1,6 @@
 /**
- * What the daemons' operators' listener answers. A decoder gives undefined for a
- * value without the fields that the commands rely on; further fields pass, so
+ * Types and decoders for the answers of a daemon's operators' listener. A decoder returns
+ * undefined if a field that the commands need is missing. It ignores unknown fields, so
  * that an older client works with a newer daemon.
  */
 import type { ConfigurationHead } from '@umberspar/steering/common/configuration/versionedConfiguration'
@@ -8,36 +8,36 @@
 import { decodeItems, isJsonObject, toNumber, toText, toTexts } from './jsonValue.js'
 import type { JsonObject } from './jsonValue.js'
 
-/** A numbered configuration; the body stays JSON as the daemon sent it. */
+/** One version of the configuration; the body is the JSON that the daemon sent. */
 export interface ConfigurationResponse {
   readonly head: ConfigurationHead
   readonly body: JsonObject
 }
 
-/** One accepted change. */
+/** An accepted change of the configuration. */
 export interface HistoryEntry {
   readonly version: number
   readonly changeId: string
   readonly baseVersion: number
   readonly note: string
-  /** Milliseconds since 1970 by the clock of the daemon that wrote it. */
+  /** Milliseconds since 1970, by the clock of the daemon that accepted the change. */
   readonly atWallMs: number
 }
 
-/** A field of a configuration that breaks a rule. */
+/** An invalid field of a configuration. */
 export interface FieldProblem {
   readonly path: string
   readonly expected: string
   readonly message: string
 }
 
-/** A daemon's opinion of a patch. */
+/** The result of validating a patch or a configuration. */
 export interface ValidationResult {
   readonly valid: boolean
   readonly problems: readonly FieldProblem[]
 }
 
-/** An entry VM as the asked daemon sees it. */
+/** An entry VM, as seen by the daemon that answered. */
 export interface FleetNode {
   readonly nodeId: string
   readonly region: string
@@ -48,23 +48,24 @@
   readonly configurationVersion: number
 }
 
-/** How far one node is with one drain. */
+/** One node's progress with one drain. */
 export interface NodeDrain {
   readonly target: string
   readonly kind: string
-  /** The part of traffic that this node still plans to send there, 0 to 1. */
+  /** The share of traffic that this node still plans to send to the target, 0 to 1. */
   readonly weight: number
+  /** Requests in flight from this node to the target. */
   readonly inFlight: number
   readonly isSafeToStop: boolean
 }
 
-/** A daemon's error, RFC 9457 with this project's members. */
+/** A daemon's error: an RFC 9457 problem document with additional members. */
 export interface OperatorProblem {
   readonly title: string
   readonly detail: string
   readonly step?: string
   readonly peer?: string
-  /** `not-run` or `unknown`. */
+  /** Whether the request took effect: `not-run` if it certainly did not, otherwise `unknown`. */
   readonly outcome?: string
   readonly baseVersion?: number
   readonly currentVersion?: number
@@ -86,7 +87,7 @@
   return isJsonObject(value) ? decodeHead(value.head) : undefined
 }
 
-/** Decodes a numbered configuration. */
+/** Decodes one version of the configuration. */
 export function decodeConfiguration (value: unknown): ConfigurationResponse | undefined {
   if (!isJsonObject(value) || !isJsonObject(value.body)) return undefined
   const head = decodeHead(value.head)
@@ -121,7 +122,7 @@
   }
 }
 
-/** Decodes a daemon's opinion of a patch. */
+/** Decodes the result of validating a patch. */
 export function decodeValidation (value: unknown): ValidationResult | undefined {
   if (!isJsonObject(value) || typeof value.valid !== 'boolean') return undefined
   return { valid: value.valid, problems: decodeItems(value.problems, decodeFieldProblem) ?? [] }
@@ -143,12 +144,12 @@
   }
 }
 
-/** Decodes the fleet. */
+/** Decodes the list of the fleet's nodes. */
 export function decodeFleet (value: unknown): readonly FleetNode[] | undefined {
   return isJsonObject(value) ? decodeItems(value.nodes, decodeFleetNode) : undefined
 }
 
-/** Decodes the version that a daemon says is in force at itself. */
+/** Decodes the configuration version in force at a node. */
 export function decodeVersionInForce (value: unknown): number | undefined {
   return isJsonObject(value) ? toNumber(value.configurationVersion) : undefined
 }
@@ -165,7 +166,7 @@
   return { target, kind, weight, inFlight, isSafeToStop }
 }
 
-/** Decodes a node's drains. */
+/** Decodes a node's progress with all drains. */
 export function decodeDrains (value: unknown): readonly NodeDrain[] | undefined {
   return isJsonObject(value) ? decodeItems(value.drains, decodeDrain) : undefined
 }
@@ -179,7 +180,7 @@
   return { nodeId, address, weight }
 }
 
-/** Decodes the answer of a look-up. */
+/** Decodes the answer to a look-up. */
 export function decodeLookup (value: unknown): LookupAnswer | undefined {
   if (!isJsonObject(value)) return undefined
   const service = toText(value.service)
@@ -191,7 +192,7 @@
   return { service, region: toText(value.region) ?? '', configurationVersion, cacheForMs, entries }
 }
 
-/** Decodes a daemon's error; members that are missing stay empty. */
+/** Decodes a daemon's error; missing members become empty or undefined. */
 export function decodeProblem (value: unknown): OperatorProblem | undefined {
   if (!isJsonObject(value)) return undefined
   return {
--- a/packages/cli/src/common/patchSettlement.ts
+++ b/packages/cli/src/common/patchSettlement.ts
@@ -1,33 +1,33 @@
-/** Whether a change whose answer was lost took effect. */
+/** Decides whether a change took effect although its answer was lost. */
 import type { ConfigurationHead } from '@umberspar/steering/common/configuration/versionedConfiguration'
 import type { HistoryEntry } from './operatorMessages.js'
 
-/** What is known of a change. */
+/** What is known about the effect of a change. */
 export enum PatchOutcome {
   Applied = 'applied',
-  /** Another change stands where this one would have to. */
+  /** Another change took the version number that this change could have had. */
   NotApplied = 'not-applied',
-  /** The store has nothing newer than the base, or the daemon asked does not know it yet. */
+  /** No newer version exists yet, or the daemon that answered does not know of it yet. */
   Undecided = 'undecided'
 }
 
-/** A verdict and the version it rests on. */
+/** The outcome of a change, and the version that shows it. */
 export interface ResolvedPatch {
   readonly outcome: PatchOutcome
-  /** Applied: the change's version. Otherwise the highest version seen. */
+  /** The version that the change made if it was applied, otherwise the highest known version. */
   readonly version: number
 }
 
 /**
- * A change against base N can only become version N + 1. If that version
- * carries this changeId, the change took effect; if it carries another, the
- * compare-and-swap refuses the change now and for ever. A daemon that lags
- * shows neither, so its silence decides nothing.
- * @param changeId the change
- * @param baseVersion the version it was made against
- * @param head the head that a daemon shows
- * @param history the accepted changes that a daemon shows
- * @returns the verdict
+ * A change against version N can only become version N + 1. If version N + 1 has the
+ * same changeId, the change took effect. If it has another changeId, the change was
+ * not applied and never will be, because the compare-and-swap on the version refuses it.
+ * A daemon that lags behind knows neither, so a missing version N + 1 decides nothing.
+ * @param changeId the id of the change
+ * @param baseVersion the version that the change was made against
+ * @param head the head of the configuration, as a daemon reports it
+ * @param history the accepted changes, as a daemon reports them
+ * @returns the outcome of the change
  */
 export function decidePatchOutcome (changeId: string, baseVersion: number, head: ConfigurationHead, history: readonly HistoryEntry[]): ResolvedPatch {
   const knownEntries = [head, ...history]
--- a/packages/cli/src/common/setOption.ts
+++ b/packages/cli/src/common/setOption.ts
@@ -1,9 +1,9 @@
-/** `--set path=json`: a JSON Merge Patch written on the command line. */
+/** Parses `--set path=json` options into a JSON Merge Patch. */
 import { UsageError } from './operatorError.js'
 import { isJsonObject } from './jsonValue.js'
 import type { JsonObject } from './jsonValue.js'
 
-/** Keys by which a path could reach an object's prototype instead of a field. */
+/** Keys that could reach an object's prototype instead of a field. */
 const FORBIDDEN_KEYS: ReadonlySet<string> = new Set(['__proto__', 'constructor', 'prototype'])
 
 type MutableJsonObject = Record<string, unknown>
@@ -11,7 +11,7 @@
 function parsePath (text: string): readonly string[] {
   const keys = text.split('.')
   if (keys.some((key) => key === '' || FORBIDDEN_KEYS.has(key))) {
-    throw new UsageError(`--set: '${text}' is no path of field names joined by dots`)
+    throw new UsageError(`--set: '${text}' is not a path of field names separated by dots`)
   }
   return keys
 }
@@ -20,7 +20,7 @@
   try {
     return JSON.parse(text)
   } catch {
-    throw new UsageError(`--set ${path}: expected JSON after '=', text within double quotes; got ${text}`)
+    throw new UsageError(`--set ${path}: expected JSON after '=' (strings in double quotes), got ${text}`)
   }
 }
 
@@ -37,9 +37,9 @@
 }
 
 /**
- * @param options each `path=json`; `null` removes the field
- * @returns the patch that sets them all
- * @throws UsageError if an option can't be read
+ * @param options the values of the options, each `path=json`; `null` removes the field
+ * @returns the patch that sets all fields
+ * @throws UsageError if an option can't be parsed
  */
 export function parseSetOptions (options: readonly string[]): JsonObject {
   const patch: MutableJsonObject = {}
--- a/packages/cli/src/common/tableFormat.ts
+++ b/packages/cli/src/common/tableFormat.ts
@@ -1,6 +1,6 @@
-/** Plain-text tables: columns padded to their widest cell, two spaces between. */
+/** Formats plain-text tables, with columns padded to their widest cell. */
 
-/** Which side a column's cells stand at. */
+/** The alignment of a column's cells. */
 export enum Align {
   Left = 'left',
   Right = 'right'
@@ -20,9 +20,9 @@
 }
 
 /**
- * @param columns the headings
- * @param rows the cells, one per column
- * @returns lines without trailing spaces
+ * @param columns headings and alignments
+ * @param rows the cells of each row, one for each column
+ * @returns the heading and the rows as lines, without trailing spaces
  */
 export function formatTable (columns: readonly Column[], rows: ReadonlyArray<readonly string[]>): string {
   const widths = columns.map((column, index) => Math.max(column.title.length, ...rows.map((row) => row[index]?.length ?? 0)))
--- a/packages/cli/src/node/cliIo.ts
+++ b/packages/cli/src/node/cliIo.ts
@@ -1,14 +1,15 @@
-/** What a run of the client takes from its surroundings; tests give their own. */
+/** The dependencies of the client on its environment; tests replace them. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { ITerminal } from './terminal.js'
 
-/** The surroundings of one run. */
+/** What one run of the client uses of its environment. */
 export interface CliIo {
   readonly terminal: ITerminal
   readonly clock: IClock
+  /** The environment variables. */
   readonly environment: Readonly<Record<string, string | undefined>>
-  /** @returns the identity of a new change; no two calls anywhere give the same */
+  /** @returns a globally unique id for a new change */
   readonly createChangeId: () => string
-  /** Milliseconds between two questions to the fleet while waiting. */
+  /** Milliseconds between two polls while waiting for the fleet. */
   readonly pollSpanMs: number
 }
--- a/packages/cli/src/node/commandContext.ts
+++ b/packages/cli/src/node/commandContext.ts
@@ -1,4 +1,4 @@
-/** What a running command works with, and how commands are registered. */
+/** The context of a running command, and the types for registering commands. */
 import type { Arguments } from 'yargs'
 import type { StepError } from '@umberspar/base/common/errors'
 import type { Result } from '@umberspar/base/common/result'
@@ -6,40 +6,40 @@
 import type { CliIo } from './cliIo.js'
 import type { OperatorClient } from './operatorClient.js'
 
-/** A running command's means. */
+/** What a running command can use. */
 export interface CommandContext {
   readonly io: CliIo
   readonly isJson: boolean
   readonly client: OperatorClient
 }
 
-/** Carries a command out; an error is printed by the caller. */
+/** Runs a command. The caller prints the error, if any. */
 export type CommandHandler = (context: CommandContext) => Promise<Result<ExitCode, StepError>>
 
-/** How a command is prepared. */
+/** How to prepare for running a command. */
 export interface CommandSettings {
-  /** False for a command that asks no daemon. */
+  /** False for a command that sends nothing to a daemon; true by default. */
   readonly needsDaemon?: boolean
-  /** Whether it waits for the fleet, and so gets more time by default. */
+  /** Whether the command waits for the fleet, and therefore has a longer default time limit. */
   readonly isWaiting?: boolean
 }
 
-/** Notes which command the arguments chose; it runs after all were parsed. */
+/** Records the command that the arguments chose; it runs after parsing is complete. */
 export type RegisterCommand = (args: Arguments, run: CommandHandler, settings?: CommandSettings) => void
 
 /**
  * Prints a command's result: as one JSON document with --json, otherwise as text.
- * @param context the running command
+ * @param context the context of the running command
  * @param document the JSON document
- * @param formatText makes the text, called only if needed
+ * @param formatText formats the text; not called with --json
  */
 export function printResult (context: CommandContext, document: object, formatText: () => string): void {
   context.io.terminal.print(context.isJson ? JSON.stringify(document, null, 2) : formatText())
 }
 
 /**
- * Prints something on the side for a person; scripts don't get it.
- * @param context the running command
+ * Prints additional information to standard error; omitted with --json.
+ * @param context the context of the running command
  * @param text one line
  */
 export function printNote (context: CommandContext, text: string): void {
--- a/packages/cli/src/node/commands/config.ts
+++ b/packages/cli/src/node/commands/config.ts
@@ -1,4 +1,4 @@
-/** `umberspar config`: reading and changing the steering configuration. */
+/** `umberspar config`: reads and changes the steering configuration. */
 import type { Argv, Arguments } from 'yargs'
 import { createDeadline } from '@umberspar/base/common/deadline'
 import { Ok } from '@umberspar/base/common/result'
@@ -52,18 +52,18 @@
 
 /**
  * @param parser the parser to extend
- * @param register notes the chosen command
+ * @param register records the chosen command
  */
 export function addConfigCommands (parser: Argv, register: RegisterCommand): void {
   parser.command('config', 'Read and change the steering configuration', (builder) => {
     builder
       .command('get', 'Print the configuration in force, or an earlier one', (getBuilder) => getBuilder
-        // Here --version is an option of the command and not a question for the client's own version.
+        // Here --version is an option of this command, so yargs must not print the client's version.
         .version(false)
-        .option('version', { type: 'number', nargs: 1, describe: 'An earlier version that the history still holds' })
+        .option('version', { type: 'number', nargs: 1, describe: 'An earlier version that the history still contains' })
         .example('umberspar config get > configuration.json', 'Save the configuration in force')
         .example('umberspar config get --version 41', 'Print version 41'), (args) => register(args, buildGet(args)))
-      .command('history', 'List accepted changes, the newest first', (historyBuilder) => historyBuilder
+      .command('history', 'List accepted changes, newest first', (historyBuilder) => historyBuilder
         .example('umberspar config history --json', 'For scripts'), (args) => register(args, runHistory))
       .command('status', 'Show the version in force at every node', (statusBuilder) => statusBuilder
         .example('umberspar config status', 'Ask every node of the fleet'), (args) => register(args, runStatus))
--- a/packages/cli/src/node/commands/configChange.ts
+++ b/packages/cli/src/node/commands/configChange.ts
@@ -18,14 +18,14 @@
 import { PatchSubmitter } from '../patchSubmitter.js'
 import type { AppliedPatch } from '../patchSubmitter.js'
 
-/** Makes the patch when the command runs. */
+/** Reads the patch when the command runs, not when its arguments are parsed. */
 type ReadPatch = () => Promise<Result<JsonObject, StepError>>
 
 async function readPatchFile (path: string): Promise<Result<JsonObject, StepError>> {
   const value = await readJsonFile(path)
   if (!value.ok) return value
   if (isJsonObject(value.val)) return Ok(value.val)
-  return Err(new StepError({ code: ErrorCode.Invalid, step: 'read-file', peer: path, message: 'a patch of a configuration is a JSON object' }))
+  return Err(new StepError({ code: ErrorCode.Invalid, step: 'read-file', peer: path, message: 'a configuration patch must be a JSON object' }))
 }
 
 async function readBaseVersion (context: CommandContext, given: number | undefined): Promise<Result<number, StepError>> {
@@ -43,7 +43,7 @@
   const file = getText(args, 'file')
   const baseVersion = getOptionalVersion(args, 'base')
   const isPatch = isSet(args, 'patch')
-  if (baseVersion !== undefined && !isPatch) throw new UsageError('--base belongs to --patch')
+  if (baseVersion !== undefined && !isPatch) throw new UsageError('--base can only be used with --patch')
   return async (context) => {
     if (!isPatch) {
       const configuration = await readJsonFile(file)
@@ -61,14 +61,14 @@
 function createReadPatch (args: Arguments): ReadPatch {
   const file = getOptionalText(args, 'file')
   const settings = listTexts(args, 'set')
-  if ((file === undefined) === (settings.length === 0)) throw new UsageError('give either --file or --set')
+  if ((file === undefined) === (settings.length === 0)) throw new UsageError('expected either --file or --set')
   if (file !== undefined) return async () => await readPatchFile(file)
   const patch = parseSetOptions(settings)
   return async () => Ok(patch)
 }
 
 function formatApplied (applied: AppliedPatch): string {
-  const note = applied.isSettledLater ? ' (the answer was lost; the change did take effect)' : ''
+  const note = applied.isSettledLater ? ' (the answer was lost, but the change took effect)' : ''
   return `accepted as version ${applied.version}, change ${applied.changeId}${note}`
 }
 
@@ -92,12 +92,12 @@
  * @param register notes the chosen command
  */
 export function addValidateCommand (parser: Argv, register: RegisterCommand): void {
-  parser.command('validate', 'Check a whole configuration here, or a patch at a daemon', (builder) => builder
+  parser.command('validate', 'Validate a complete configuration locally, or a patch at a daemon', (builder) => builder
     .option('file', { type: 'string', demandOption: true, nargs: 1, describe: 'The JSON file' })
-    .option('patch', { type: 'boolean', describe: 'The file is a JSON Merge Patch; a daemon checks it' })
-    .option('base', { type: 'number', nargs: 1, describe: 'With --patch: the version it is made against; the present one by default' })
-    .example('umberspar config validate --file configuration.json', 'Check a whole configuration without a daemon')
-    .example('umberspar config validate --file change.json --patch', 'Let a daemon check a patch'),
+    .option('patch', { type: 'boolean', describe: 'The file is a JSON Merge Patch, to be validated by a daemon' })
+    .option('base', { type: 'number', nargs: 1, describe: 'With --patch: the version that the patch is made against; the current one by default' })
+    .example('umberspar config validate --file configuration.json', 'Validate a complete configuration without a daemon')
+    .example('umberspar config validate --file change.json --patch', 'Validate a patch at a daemon'),
   (args) => register(args, buildValidate(args), { needsDaemon: isSet(args, 'patch') }))
 }
 
@@ -106,11 +106,11 @@
  * @param register notes the chosen command
  */
 export function addPatchCommand (parser: Argv, register: RegisterCommand): void {
-  parser.command('patch', 'Change the configuration against a numbered version', (builder) => builder
-    .option('base', { type: 'number', demandOption: true, nargs: 1, describe: 'The version that the patch is made against; refused if it is not the present one' })
+  parser.command('patch', 'Change the configuration, based on a given version', (builder) => builder
+    .option('base', { type: 'number', demandOption: true, nargs: 1, describe: 'The version that the patch is made against; refused if it is not the current one' })
     .option('file', { type: 'string', nargs: 1, conflicts: 'set', describe: 'A JSON Merge Patch (RFC 7396)' })
-    .option('set', { type: 'string', array: true, nargs: 1, describe: 'path=json, may be repeated; null removes the field' })
-    .option('note', { type: 'string', nargs: 1, describe: 'Kept in the history' })
+    .option('set', { type: 'string', array: true, nargs: 1, describe: 'path=json; may be repeated; null removes the field' })
+    .option('note', { type: 'string', nargs: 1, describe: 'A note to keep in the history' })
     .example('umberspar config patch --base 41 --file change.json --note "new workers"', 'Apply a file')
     .example('umberspar config patch --base 41 --set shiftCaps.planned=0.1 --set lookupCacheMs=3000', 'Set two fields'),
   (args) => register(args, buildPatch(args)))
--- a/packages/cli/src/node/commands/configRollback.ts
+++ b/packages/cli/src/node/commands/configRollback.ts
@@ -1,4 +1,4 @@
-/** `umberspar config rollback`: an earlier body becomes a new version. */
+/** `umberspar config rollback`: restores an earlier configuration as a new version. */
 import type { Argv, Arguments } from 'yargs'
 import { Ok } from '@umberspar/base/common/result'
 import { computeRollbackPatch } from '@umberspar/steering/common/configuration/rollbackPatch'
@@ -12,7 +12,7 @@
 
 function buildRollback (args: Arguments): CommandHandler {
   const target = getOptionalVersion(args, 'to')
-  if (target === undefined) throw new UsageError('--to: expected the version to come back to')
+  if (target === undefined) throw new UsageError('--to: expected the version to restore')
   const note = getOptionalText(args, 'note') ?? `rollback to version ${target}`
   const isDryRun = isSet(args, 'dry-run')
   return async (context) => {
@@ -23,29 +23,29 @@
     const baseVersion = current.val.head.version
     const patch = computeRollbackPatch(current.val.body, earlier.val.body) as JsonObject
     if (isDryRun || Object.keys(patch).length === 0) {
-      const title = Object.keys(patch).length === 0 ? `version ${baseVersion} is the same as version ${target}` : `against version ${baseVersion}:`
+      const title = Object.keys(patch).length === 0 ? `version ${baseVersion} is identical to version ${target}` : `patch against version ${baseVersion}:`
       printResult(context, { baseVersion, target, patch }, () => `${title}\n${JSON.stringify(patch, null, 2)}`)
       return Ok(ExitCode.Ok)
     }
-    // The patch names the version that it was computed against: a change that
-    // comes between makes it stale, and nothing of that change is undone unseen.
+    // The patch names the version that it was computed against. If another change is
+    // accepted first, the patch is refused as stale and can't silently undo that change.
     const applied = await new PatchSubmitter(context.client, context.io).send({ baseVersion, patch, note })
     if (!applied.ok) return applied
-    printResult(context, { ...applied.val, target }, () => `version ${target} is back as version ${applied.val.version}, change ${applied.val.changeId}`)
+    printResult(context, { ...applied.val, target }, () => `version ${target} was restored as version ${applied.val.version}, change ${applied.val.changeId}`)
     return Ok(ExitCode.Ok)
   }
 }
 
 /**
  * @param parser the parser of `config`
- * @param register notes the chosen command
+ * @param register records the chosen command
  */
 export function addRollbackCommand (parser: Argv, register: RegisterCommand): void {
-  parser.command('rollback', 'Bring an earlier version back as a new one', (builder) => builder
-    .option('to', { type: 'number', demandOption: true, nargs: 1, describe: 'The version to come back to; the history must still hold it' })
-    .option('dry-run', { type: 'boolean', describe: 'Print the patch; nothing changes' })
-    .option('note', { type: 'string', nargs: 1, describe: 'Kept in the history' })
+  parser.command('rollback', 'Restore an earlier version as a new one', (builder) => builder
+    .option('to', { type: 'number', demandOption: true, nargs: 1, describe: 'The version to restore; the history must still contain it' })
+    .option('dry-run', { type: 'boolean', describe: 'Print the patch without changing anything' })
+    .option('note', { type: 'string', nargs: 1, describe: 'A note to keep in the history' })
     .example('umberspar config rollback --to 39 --dry-run', 'See what would change')
-    .example('umberspar config rollback --to 39', 'Make version 39 the newest again, under a new number'),
+    .example('umberspar config rollback --to 39', 'Restore version 39 under a new version number'),
   (args) => register(args, buildRollback(args)))
 }
--- a/packages/cli/src/node/commands/drain.ts
+++ b/packages/cli/src/node/commands/drain.ts
@@ -1,4 +1,4 @@
-/** `umberspar drain` and `umberspar undrain`: patches of the configuration's `drains`. */
+/** `umberspar drain` and `umberspar undrain`: change the configuration's `drains`. */
 import type { Argv, Arguments } from 'yargs'
 import type { StepError } from '@umberspar/base/common/errors'
 import { Ok } from '@umberspar/base/common/result'
@@ -22,11 +22,12 @@
   readonly direction: DrainDirection
   readonly kind: DrainKind
   readonly target: string
-  /** The version that holds the drain. */
+  /** The version that contains the drain, or no longer contains it. */
   readonly version: number
-  /** False: the configuration already said so. */
+  /** False if the target was already drained or undrained as wanted. */
   readonly isChanged: boolean
   readonly changeId?: string
+  /** Whether the answer was lost, and the effect was determined by later reads. */
   readonly isSettledLater?: boolean
   /** Only with --wait. */
   readonly progress?: DrainProgress
@@ -45,7 +46,7 @@
 
 const DONE_TEXT: Readonly<Record<DrainDirection, string>> = {
   [DrainDirection.Drain]: 'no traffic is planned or in flight there: it is safe to stop the machines',
-  [DrainDirection.Undrain]: 'every node has taken the drain back; traffic returns in capped steps'
+  [DrainDirection.Undrain]: 'every node has removed the drain; traffic returns in limited steps'
 }
 
 const BUILD_TARGET: Readonly<Record<DrainKind, (args: Arguments) => DrainTarget>> = {
@@ -56,13 +57,13 @@
 
 function formatDrain (document: DrainDocument): string {
   const subject = `${document.direction} ${document.kind} ${document.target}`
-  if (!document.isChanged) return `${subject}: already so in version ${document.version}, nothing changed`
-  const note = document.isSettledLater === true ? ' (the answer was lost; the change did take effect)' : ''
+  if (!document.isChanged) return `${subject}: already in effect in version ${document.version}, nothing changed`
+  const note = document.isSettledLater === true ? ' (the answer was lost, but the change took effect)' : ''
   return `${subject}: accepted as version ${document.version}${note}`
 }
 
 function formatDryRun (document: DryRunDocument): string {
-  if (!document.isChanged) return `already so in version ${document.baseVersion}, nothing would change`
+  if (!document.isChanged) return `already in effect in version ${document.baseVersion}, nothing would change`
   const summary = document.isValid ? 'the daemon would accept it' : 'the daemon would refuse it:'
   const patch = JSON.stringify(document.patch)
   const prediction = document.prediction === undefined ? [] : [formatPrediction(document.prediction)]
@@ -116,20 +117,20 @@
   }
   const commandLine = `umberspar ${direction}`
   return parser
-    .option('wait', { type: 'boolean', describe: 'Wait until every node is done, and show progress' })
-    .option('allow-unreachable', { type: 'boolean', describe: 'With --wait: do not wait for nodes that give no answer; only if they are known to be stopped' })
-    .option('dry-run', { type: 'boolean', conflicts: 'wait', describe: 'Let a daemon check the change; change nothing' })
-    .option('note', { type: 'string', nargs: 1, describe: 'Kept in the history' })
+    .option('wait', { type: 'boolean', describe: 'Show progress and wait until every node has completed the change' })
+    .option('allow-unreachable', { type: 'boolean', describe: 'With --wait: do not wait for nodes that do not answer; use it only if they are known to be stopped' })
+    .option('dry-run', { type: 'boolean', conflicts: 'wait', describe: 'Validate the change at a daemon without changing anything' })
+    .option('note', { type: 'string', nargs: 1, describe: 'A note to keep in the history' })
     .command('failure-domain <name>', `${direction} a failure domain`, (builder) => builder
       .positional('name', { type: 'string', describe: 'The failure domain' })
       .example(`${commandLine} failure-domain klang-a --wait`, 'Wait until it is done'), handle(DrainKind.FailureDomain))
     .command('region <name>', `${direction} a region`, (builder) => builder
       .positional('name', { type: 'string', describe: 'The region' })
-      .example(`${commandLine} region klang --dry-run`, 'Check without changing anything'), handle(DrainKind.Region))
+      .example(`${commandLine} region klang --dry-run`, 'Validate without changing anything'), handle(DrainKind.Region))
     .command('place <service> <failure-domain>', `${direction} one service in one failure domain`, (builder) => builder
       .positional('service', { type: 'string', describe: 'The service' })
       .positional('failure-domain', { type: 'string', describe: 'The failure domain' })
-      .example(`${commandLine} place billing-svc klang-a`, 'Only this service, only there'), handle(DrainKind.Place))
+      .example(`${commandLine} place billing-svc klang-a`, 'Only this service in this failure domain'), handle(DrainKind.Place))
     .demandCommand(1, 'expected failure-domain, region or place')
     .example(`${commandLine} failure-domain klang-a --wait`, 'Wait until it is done')
     .example(`${commandLine} place billing-svc klang-a --json`, 'For scripts')
@@ -137,9 +138,9 @@
 
 /**
  * @param parser the parser to extend
- * @param register notes the chosen command
+ * @param register records the chosen command
  */
 export function addDrainCommands (parser: Argv, register: RegisterCommand): void {
-  parser.command('drain', 'Take a failure domain, a region or a place out of use', (builder) => addTargetCommands(builder, DrainDirection.Drain, register))
-  parser.command('undrain', 'Take it back into use', (builder) => addTargetCommands(builder, DrainDirection.Undrain, register))
+  parser.command('drain', 'Move traffic away from a failure domain, a region, or one service in a failure domain', (builder) => addTargetCommands(builder, DrainDirection.Drain, register))
+  parser.command('undrain', 'Let traffic return to a drained target', (builder) => addTargetCommands(builder, DrainDirection.Undrain, register))
 }
--- a/packages/cli/src/node/commands/explain.ts
+++ b/packages/cli/src/node/commands/explain.ts
@@ -1,4 +1,4 @@
-/** `umberspar explain`: one request's history from entry processes' log lines. */
+/** `umberspar explain`: reconstructs one request's history from the log lines of entry processes. */
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import type { Readable } from 'node:stream'
@@ -36,15 +36,15 @@
 
 /**
  * @param parser the parser to extend
- * @param register notes the chosen command
+ * @param register records the chosen command
  */
 export function addExplainCommand (parser: Argv, register: RegisterCommand): void {
   parser.command(
     'explain <id> [files..]',
-    'Tell one request\'s history from entry processes\' log lines',
+    'Show the history of one request from the log lines of entry processes',
     (builder) => builder
       .positional('id', { type: 'string', demandOption: true, describe: 'The request\'s id' })
-      .positional('files', { type: 'string', array: true, describe: 'Log files; standard input if none, or for -' })
+      .positional('files', { type: 'string', array: true, describe: 'Log files; standard input if none are given, or for -' })
       .example('umberspar explain 9c41d07be2a35f68 entry-*.log', 'Over the logs of all entry VMs')
       .example('cat entry-*.log | umberspar explain 9c41d07be2a35f68 --json', 'The same for scripts'),
     (args) => register(args, createExplainRun(String(args.id), (args.files as string[] | undefined) ?? []), { needsDaemon: false })
--- a/packages/cli/src/node/commands/lookup.ts
+++ b/packages/cli/src/node/commands/lookup.ts
@@ -1,4 +1,4 @@
-/** `umberspar lookup`: what a caller is told. */
+/** `umberspar lookup`: shows the answer to a caller's look-up. */
 import type { Argv, Arguments } from 'yargs'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { Err, Ok } from '@umberspar/base/common/result'
@@ -17,7 +17,7 @@
   const candidates = fleet.val.filter((node) => node.callersAddress !== '')
   const chosen = candidates.find((node) => node.state === LIVE_STATE) ?? candidates[0]
   if (chosen !== undefined) return Ok(chosen.callersAddress)
-  const message = 'the fleet names no callers\' listener; give --address'
+  const message = 'no node of the fleet has a callers\' listener; use --address'
   return Err(new StepError({ code: ErrorCode.Unavailable, step: 'choose-entry', peer: 'local', message }))
 }
 
@@ -38,16 +38,16 @@
 
 /**
  * @param parser the parser to extend
- * @param register notes the chosen command
+ * @param register records the chosen command
  */
 export function addLookupCommand (parser: Argv, register: RegisterCommand): void {
   parser.command(
     'lookup',
-    'Show which entry VMs a caller of a service is sent to',
+    'Show which entry VMs a caller of a service is told to use',
     (builder) => builder
       .option('service', { type: 'string', demandOption: true, nargs: 1, describe: 'The service' })
       .option('address', { type: 'string', nargs: 1, describe: 'host:port of a callers\' listener; by default one of the fleet' })
-      .option('client-address', { type: 'string', nargs: 1, describe: 'Look up on behalf of this IP number; believed only if the daemon trusts this machine as a forwarder' })
+      .option('client-address', { type: 'string', nargs: 1, describe: 'Look up on behalf of this IP address; ignored unless the daemon trusts this machine as a forwarder' })
       .example('umberspar lookup --service billing-svc', 'Ask an entry VM of the fleet')
       .example('umberspar lookup --service billing-svc --address 10.0.0.1:8080 --client-address 198.51.100.7', 'Ask one entry VM for one client'),
     (args) => register(args, buildLookup(args), { needsDaemon: getOptionalText(args, 'address') === undefined })
--- a/packages/cli/src/node/commands/report.ts
+++ b/packages/cli/src/node/commands/report.ts
@@ -1,4 +1,4 @@
-/** `umberspar report`: reports over the whole fleet. */
+/** `umberspar report`: prints reports on the whole fleet. */
 import type { Argv, Arguments } from 'yargs'
 import { createDeadline } from '@umberspar/base/common/deadline'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
@@ -27,7 +27,7 @@
     })
     const document = buildBurnDocument(answers.map(({ node, answer }) => ({ nodeId: node.nodeId, burn: answer })), service)
     if (document.nodesAnswered === 0) {
-      const message = `none of the fleet's ${document.nodesAsked} nodes answered`
+      const message = `none of the ${document.nodesAsked} nodes of the fleet answered`
       return Err(new StepError({ code: ErrorCode.Unavailable, step: STEP, peer: 'fleet', message }))
     }
     if (service !== undefined && document.services[service] === undefined) {
@@ -41,11 +41,11 @@
 
 /**
  * @param parser the parser to extend
- * @param register notes the chosen command
+ * @param register records the chosen command
  */
 export function addReportCommands (parser: Argv, register: RegisterCommand): void {
-  parser.command('report', 'Reports over the whole fleet', (builder) => builder
-    .command('burn', 'Service-level burn: error rates against the objectives, error budget left', (burnBuilder) => burnBuilder
+  parser.command('report', 'Print reports on the whole fleet', (builder) => builder
+    .command('burn', 'Show error rates, burn rates and the remaining error budget of each service', (burnBuilder) => burnBuilder
       .option('service', { type: 'string', nargs: 1, describe: 'Only this service' })
       .example('umberspar report burn', 'All services')
       .example('umberspar report burn --service billing-svc --json', 'One service, for scripts'),
--- a/packages/cli/src/node/commands/status.ts
+++ b/packages/cli/src/node/commands/status.ts
@@ -1,4 +1,4 @@
-/** `umberspar status`: the fleet as a daemon sees it. */
+/** `umberspar status`: shows the fleet as one daemon sees it. */
 import type { Argv } from 'yargs'
 import { Ok } from '@umberspar/base/common/result'
 import { ExitCode } from '../../common/exitCode.js'
@@ -15,7 +15,7 @@
 
 /**
  * @param parser the parser to extend
- * @param register notes the chosen command
+ * @param register records the chosen command
  */
 export function addStatusCommand (parser: Argv, register: RegisterCommand): void {
   parser.command(
--- a/packages/cli/src/node/drainSubmitter.ts
+++ b/packages/cli/src/node/drainSubmitter.ts
@@ -1,4 +1,4 @@
-/** Changes `drains` against the present version, again if another change came first. */
+/** Patches the configuration's `drains` against its current version, and retries if another change was accepted first. */
 import { hasPassed } from '@umberspar/base/common/deadline'
 import { ErrorCode } from '@umberspar/base/common/errors'
 import { Ok } from '@umberspar/base/common/result'
@@ -20,33 +20,35 @@
   readonly note: string
 }
 
-/** What became of it. */
+/** The result of draining or undraining. */
 export interface DrainResult {
+  /** The version that contains the drain, or no longer contains it. */
   readonly version: number
-  /** False: the configuration already said so. */
+  /** False if the target was already drained or undrained as wanted. */
   readonly isChanged: boolean
   readonly changeId?: string
+  /** Whether the answer was lost, and the effect was determined by later reads. */
   readonly isSettledLater?: boolean
 }
 
-/** What a daemon says beforehand. */
+/** The result of a dry run. */
 export interface CheckedDrain {
   readonly baseVersion: number
   readonly isChanged: boolean
   readonly patch?: JsonObject
   readonly isValid: boolean
   readonly problems: ValidationResult['problems']
-  /** Steps, headroom and time; undefined if the patch is not valid by itself or the daemon can't tell. */
+  /** Undefined if the patch is invalid, or the daemon can't predict its effect. */
   readonly prediction?: DrainPrediction
 }
 
-/** Attempts against fresh versions before the conflict is reported. */
+/** Attempts, each against the then current version, before the conflict is reported. */
 const MAX_ATTEMPTS = 5
 
 /**
- * Reads until the daemon shows a version; after a conflict the daemon that
- * answers may not have adopted the winner's version yet, and a patch against
- * its old one would only be refused again.
+ * Reads the configuration until it has at least a given version. After a conflict, the
+ * daemon that answers may not have adopted the version of the conflicting change yet, and
+ * a patch against the older version would be refused again.
  */
 async function readConfigurationAtLeast (client: OperatorClient, io: CliIo, minVersion: number): Promise<Result<ConfigurationResponse, OperatorError>> {
   let answer = await client.readConfiguration()
@@ -58,13 +60,13 @@
 }
 
 /**
- * Adds or removes one element. The attempt is repeated after a conflict, since
- * adding an element commutes with every other change; each attempt is a new
- * change only after the one before was certainly refused.
- * @param client the daemons
- * @param io the surroundings
+ * Adds a target to `drains` or removes it. Retries after a conflict, since adding or removing
+ * an element commutes with every other change. Each retry is sent as a new change, which is
+ * safe because a conflict means that the previous one was refused.
+ * @param client the client of the daemons
+ * @param io the environment of the run
  * @param drainRequest what to drain or undrain
- * @returns the version that holds it
+ * @returns the version that contains the result; `Conflict` after too many attempts
  */
 export async function applyDrain (client: OperatorClient, io: CliIo, drainRequest: DrainRequest): Promise<Result<DrainResult, OperatorError>> {
   const submitter = new PatchSubmitter(client, io)
@@ -83,9 +85,10 @@
 }
 
 /**
- * @param client the daemons
+ * Validates the patch at a daemon and predicts its effect, without changing anything.
+ * @param client the client of the daemons
  * @param drainRequest what to drain or undrain
- * @returns the patch and a daemon's opinion of it; nothing is changed
+ * @returns the patch, whether it is valid, and its predicted effect
  */
 export async function checkDrain (client: OperatorClient, drainRequest: DrainRequest): Promise<Result<CheckedDrain, OperatorError>> {
   const current = await client.readConfiguration()
--- a/packages/cli/src/node/drainWatcher.ts
+++ b/packages/cli/src/node/drainWatcher.ts
@@ -1,4 +1,4 @@
-/** Waits until the whole fleet is done with a drain. */
+/** Waits until all nodes of the fleet have completed a drain. */
 import { createDeadline, hasPassed } from '@umberspar/base/common/deadline'
 import { ErrorCode } from '@umberspar/base/common/errors'
 import { Err, Ok } from '@umberspar/base/common/result'
@@ -12,18 +12,18 @@
 import type { OperatorClient } from './operatorClient.js'
 import { waitFor } from './patchSubmitter.js'
 
-/** How long one node may take to answer in one round. */
+/** How long one node may take to answer in each round of polling. */
 const NODE_TIMEOUT_MS = 3000
 const STEP = 'wait-for-drain'
 
-/** Asks the fleet round by round. */
+/** Polls the fleet for its progress with a drain. */
 export class DrainWatcher {
   private lastLine = ''
 
   /**
-   * @param client the daemons
-   * @param io the surroundings
-   * @param report receives a line whenever the progress has changed
+   * @param client the client of the daemons
+   * @param io the environment of the run
+   * @param report called with a line whenever the progress has changed
    */
   constructor (
     private readonly client: OperatorClient,
@@ -32,11 +32,11 @@
   ) {}
 
   /**
-   * @param options what is waited for
-   * @returns the last progress once done; `DeadlinePassed` with the progress so far otherwise
+   * @param options what to wait for
+   * @returns the final progress; `DeadlinePassed`, with the progress so far in its message, if it is not complete by the deadline
    */
   async waitUntilDone (options: DrainWaitOptions): Promise<Result<DrainProgress, OperatorError>> {
-    let lastProgress = 'no round has ended'
+    let lastProgress = 'no round of polling has completed'
     while (!hasPassed(this.client.deadline, this.io.clock.now())) {
       const progress = await this.readProgress(options)
       if (progress.ok && progress.val.isDone) return progress
@@ -44,12 +44,12 @@
       this.reportIfChanged(progress.ok ? lastProgress : progress.val.message)
       await waitFor(this.io.clock, this.io.pollSpanMs)
     }
-    const message = `not done by the deadline: ${lastProgress}; the change stays in force, repeat the command to go on waiting`
+    const message = `not complete by the deadline: ${lastProgress}; the change remains in force, repeat the command to continue waiting`
     return Err(new OperatorError({ code: ErrorCode.DeadlinePassed, step: STEP, peer: getTargetName(options.target), message }))
   }
 
   private async readProgress (options: DrainWaitOptions): Promise<Result<DrainProgress, OperatorError>> {
-    // The fleet is read anew in each round: nodes come and go while a drain runs.
+    // List the fleet again in each round, because nodes join and leave during a drain.
     const fleet = await this.client.listFleet()
     if (!fleet.ok) return fleet
     const answers = await askEachNode(fleet.val, async (node) => {
--- a/packages/cli/src/node/fleetQuery.ts
+++ b/packages/cli/src/node/fleetQuery.ts
@@ -1,18 +1,18 @@
-/** Asks every node of the fleet the same question. */
+/** Sends the same request to every node of the fleet. */
 import type { FleetNode } from '../common/operatorMessages.js'
 
-/** A node and its answer; undefined if it gave none. */
+/** A node and its answer; `answer` is undefined if the node did not answer. */
 export interface NodeAnswer<T> {
   readonly node: FleetNode
   readonly answer: T | undefined
 }
 
-/** Questions in flight at a time: bounds sockets when the fleet counts thousands of nodes. */
+/** Limits the number of open sockets if the fleet has thousands of nodes. */
 const MAX_REQUESTS_IN_FLIGHT = 64
 
 /**
- * @param nodes the fleet
- * @param ask asks one node; it must end by a deadline of its own
+ * @param nodes the nodes of the fleet
+ * @param ask sends the request to one node; it must apply its own deadline
  * @returns the answers in the order of the nodes
  */
 export async function askEachNode<T> (
@@ -22,7 +22,7 @@
   const answers = new Array<NodeAnswer<T>>(nodes.length)
   const remaining = nodes.entries()
   const runWorker = async (): Promise<void> => {
-    // The workers share one iterator, so each node is taken by exactly one of them.
+    // The concurrent loops share one iterator, so each node is asked exactly once.
     for (const [index, node] of remaining) {
       answers[index] = { node, answer: await ask(node) }
     }
--- a/packages/cli/src/node/httpTransport.ts
+++ b/packages/cli/src/node/httpTransport.ts
@@ -1,4 +1,4 @@
-/** One HTTP call to one daemon by undici, with every way it can end told apart. */
+/** Makes HTTP calls to daemons with undici, and classifies each failure by whether the call may have had an effect. */
 import { Agent, request } from 'undici'
 import type { IClock } from '@umberspar/base/common/clock'
 import { hasPassed } from '@umberspar/base/common/deadline'
@@ -12,17 +12,17 @@
 import type { OperatorProblem } from '../common/operatorMessages.js'
 import type { ClientTls } from './clientTls.js'
 
-/** Whether repeating a call can do harm. */
+/** Whether a call is safe to repeat. */
 export enum CallKind {
   Read = 'read',
-  /** May change the configuration. */
+  /** May change the configuration, so it must not be repeated blindly. */
   Write = 'write'
 }
 
-/** One call. */
+/** A call to a daemon. */
 export interface HttpCall {
   readonly kind: CallKind
-  /** For errors, for example `read-configuration`. */
+  /** Names the call in errors, for example `read-configuration`. */
   readonly step: string
   /** `host:port` */
   readonly peer: string
@@ -36,15 +36,15 @@
 
 /** How long a TCP connection may take before the next daemon is tried. */
 const CONNECT_TIMEOUT_MS = 3000
-/** An answer larger than this is refused, so that a wrong peer can't fill the memory. */
+/** Larger responses are refused, so that a misbehaving peer can't exhaust the memory. */
 const MAX_RESPONSE_BYTES = 256 * 1024 * 1024
 const FIRST_ERROR_STATUS = 400
 const FIRST_SERVER_ERROR_STATUS = 500
 
-/** Errors that arise before a byte of the request can have left. */
+/** Codes of errors that occur before any byte of the request can have been sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EHOSTDOWN', 'EADDRNOTAVAIL', 'ENOTFOUND', 'EAI_AGAIN', 'UND_ERR_CONNECT_TIMEOUT',
-  // The daemon's certificate was not accepted, or it speaks no TLS.
+  // The daemon's certificate was not accepted, or the daemon does not use TLS.
   'DEPTH_ZERO_SELF_SIGNED_CERT', 'SELF_SIGNED_CERT_IN_CHAIN', 'UNABLE_TO_VERIFY_LEAF_SIGNATURE', 'UNABLE_TO_GET_ISSUER_CERT_LOCALLY',
   'CERT_HAS_EXPIRED', 'CERT_SIGNATURE_FAILURE', 'ERR_TLS_CERT_ALTNAME_INVALID', 'ERR_SSL_WRONG_VERSION_NUMBER'
 ])
@@ -59,13 +59,13 @@
   [429, ErrorCode.Unavailable]
 ])
 
-/** The code for a lost answer: a read may be asked again, a write is settled first. */
+/** The error code for a lost response. A read can be repeated; for a write, the effect must be determined first. */
 const LOST_RESPONSE_CODES: Readonly<Record<CallKind, ErrorCode>> = {
   [CallKind.Read]: ErrorCode.Unavailable,
   [CallKind.Write]: ErrorCode.EffectUnknown
 }
 
-/** The code for a call whose time ran out after it was handed to the socket. */
+/** The error code for a call that timed out after it was handed to the socket. */
 const TIMEOUT_CODES: Readonly<Record<CallKind, ErrorCode>> = {
   [CallKind.Read]: ErrorCode.DeadlinePassed,
   [CallKind.Write]: ErrorCode.EffectUnknown
@@ -73,7 +73,7 @@
 
 function getErrorCode (failure: unknown): string {
   if (!(failure instanceof Error)) return ''
-  // A host name with several addresses fails with one error for each of them.
+  // A connection to a host name with several addresses fails with one error for each address.
   const inner: unknown = failure instanceof AggregateError ? failure.errors[0] : failure
   return inner instanceof Error && 'code' in inner ? String(inner.code) : ''
 }
@@ -82,7 +82,7 @@
   const known = CODE_BY_STATUS.get(status)
   if (known !== undefined) return known
   if (status < FIRST_SERVER_ERROR_STATUS) return ErrorCode.Refused
-  // Only the daemon's explicit word excludes an effect of a write; a bare 5xx does not.
+  // A 5xx status alone does not rule out that a write took effect; only an explicit `not-run` does.
   return problem?.outcome === 'not-run' ? ErrorCode.Unavailable : LOST_RESPONSE_CODES[kind]
 }
 
@@ -94,14 +94,14 @@
   }
 }
 
-/** Sends calls; owns the connections. */
+/** Makes HTTP calls and owns the connections to the daemons. */
 export class HttpTransport implements IClosable {
   private readonly agent: Agent
   private readonly scheme: string
 
   /**
    * @param clock the source of time
-   * @param tls CA and client certificate; plain text if left out
+   * @param tls CA and client certificate; plain text if omitted
    */
   constructor (
     private readonly clock: IClock,
@@ -112,13 +112,13 @@
   }
 
   /**
-   * @param call what to send
-   * @param decode gives undefined for an answer without the expected fields
-   * @returns the decoded answer. Errors: `Unavailable` had no effect, `EffectUnknown` may have had one
+   * @param call the call to make
+   * @param decode returns undefined if expected fields are missing
+   * @returns the decoded response. After the error `Unavailable` the call had no effect, after `EffectUnknown` it may have had one
    */
   async call<T> (call: HttpCall, decode: (value: unknown) => T | undefined): Promise<Result<T, OperatorError>> {
     if (hasPassed(call.deadline, this.clock.now())) {
-      return Err(new OperatorError({ code: ErrorCode.DeadlinePassed, step: call.step, peer: call.peer, message: 'no time left to ask' }))
+      return Err(new OperatorError({ code: ErrorCode.DeadlinePassed, step: call.step, peer: call.peer, message: 'the deadline passed before the request was sent' }))
     }
     const abortController = new AbortController()
     const timer = this.clock.schedule(call.deadline, () => abortController.abort())
@@ -155,19 +155,19 @@
       const problem = decodeProblem(value)
       const code = classifyStatus(call.kind, status, problem)
       const reason = [problem?.title, problem?.detail].filter((part) => part !== undefined && part !== '').join(': ')
-      const message = reason === '' ? `the daemon answered with status ${status}` : reason
+      const message = reason === '' ? `the daemon responded with status ${status}` : reason
       return Err(new OperatorError({ code, step, peer, message }, problem))
     }
     const decoded = decode(value)
     if (decoded !== undefined) return Ok(decoded)
     const code = call.kind === CallKind.Write ? ErrorCode.EffectUnknown : ErrorCode.Internal
-    return Err(new OperatorError({ code, step, peer, message: 'the answer lacks fields that this client needs' }))
+    return Err(new OperatorError({ code, step, peer, message: 'the response lacks fields that this client needs' }))
   }
 
   private classifyFailure (call: HttpCall, failure: unknown, isTimedOut: boolean): OperatorError {
     const { step, peer, kind } = call
     if (isTimedOut) {
-      return new OperatorError({ code: TIMEOUT_CODES[kind], step, peer, message: 'no answer in time', cause: failure })
+      return new OperatorError({ code: TIMEOUT_CODES[kind], step, peer, message: 'no response before the deadline', cause: failure })
     }
     const errorCode = getErrorCode(failure)
     const reason = failure instanceof Error && failure.message !== '' ? failure.message : errorCode
--- a/packages/cli/src/node/jsonFile.ts
+++ b/packages/cli/src/node/jsonFile.ts
@@ -1,4 +1,4 @@
-/** Reading of JSON files that the operator names. */
+/** Reads JSON files given by the operator. */
 import { readFile } from 'node:fs/promises'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { Err, Ok } from '@umberspar/base/common/result'
@@ -7,8 +7,8 @@
 const READ_STEP = 'read-file'
 
 /**
- * @param path the file
- * @returns its JSON value; `Invalid` if it can't be read or is no JSON
+ * @param path the path of the file
+ * @returns the parsed value; `Invalid` if the file can't be read or is not JSON
  */
 export async function readJsonFile (path: string): Promise<Result<unknown, StepError>> {
   try {
--- a/packages/cli/src/node/operatorClient.ts
+++ b/packages/cli/src/node/operatorClient.ts
@@ -1,4 +1,4 @@
-/** The operators' calls to a fleet of daemons, any of which may be down. */
+/** A client for the operators' API of the daemons, any of which may be down. */
 import type { IClock, Instant } from '@umberspar/base/common/clock'
 import { createDeadline, getRemainingMs, hasPassed } from '@umberspar/base/common/deadline'
 import type { Deadline } from '@umberspar/base/common/deadline'
@@ -16,10 +16,10 @@
 import { CallKind, HttpTransport } from './httpTransport.js'
 import type { HttpCall } from './httpTransport.js'
 
-/** A result of a call to a daemon. */
+/** The result of a call to a daemon. */
 export type CallResult<T> = Promise<Result<T, OperatorError>>
 
-/** A change as it is sent. */
+/** A change of the configuration, as sent to a daemon. */
 export interface PatchRequest {
   readonly baseVersion: number
   readonly changeId: string
@@ -27,7 +27,7 @@
   readonly note: string
 }
 
-/** A patch to be checked against a version. */
+/** A patch to validate against a version. */
 export interface ValidationRequest {
   readonly baseVersion: number
   readonly patch: JsonObject
@@ -36,26 +36,26 @@
 type AnyDaemonCall = Omit<HttpCall, 'peer' | 'deadline'>
 type Decode<T> = (value: unknown) => T | undefined
 
-/** Parts of the remaining time kept back after the last attempt: a write's lost answer takes time to settle. */
+/** Shares of the remaining time reserved for after the last attempt: if a write's answer is lost, it takes time to determine its effect. */
 const RESERVED_SHARES: Readonly<Record<CallKind, number>> = {
   [CallKind.Read]: 0,
   [CallKind.Write]: 1
 }
 
-/** Errors after which another daemon may do better; every other error is final. */
+/** Errors after which the next daemon is tried; every other error is final. */
 const FAILOVER_CODES: ReadonlySet<ErrorCode> = new Set([ErrorCode.Unavailable, ErrorCode.DeadlinePassed])
 
-/** Talks to the operators' listeners within one deadline. */
+/** Calls daemons, with failover from one to the next, within one deadline. */
 export class OperatorClient implements IClosable {
   private readonly transport: HttpTransport
-  /** The daemon to begin with: the last that answered, or the one after the last that failed. */
+  /** Index (modulo the number of daemons) of the daemon to call next: the last one that answered, or the one after the last that failed. */
   private nextDaemonIndex = 0
 
   /**
    * @param daemons `host:port` of operators' listeners, at least one
    * @param clock the source of time
-   * @param deadline by which the whole command must end
-   * @param tls CA and client certificate; plain text if left out
+   * @param deadline the deadline of the whole command
+   * @param tls CA and client certificate; plain text if omitted
    */
   constructor (
     private readonly daemons: readonly string[],
@@ -71,36 +71,36 @@
     return this.callAnyDaemon({ kind: CallKind.Read, step: 'read-configuration', path: '/v1/config' }, messages.decodeConfiguration)
   }
 
-  /** @returns a configuration kept in the history */
+  /** @returns an earlier version of the configuration that the history still contains */
   readConfigurationVersion (version: number): CallResult<messages.ConfigurationResponse> {
     const path = `/v1/config/versions/${version}`
     return this.callAnyDaemon({ kind: CallKind.Read, step: 'read-configuration-version', path }, messages.decodeConfiguration)
   }
 
-  /** @returns the accepted changes that are kept */
+  /** @returns the accepted changes that the history still contains */
   listHistory (): CallResult<readonly messages.HistoryEntry[]> {
     return this.callAnyDaemon({ kind: CallKind.Read, step: 'list-history', path: '/v1/config/history' }, messages.decodeHistory)
   }
 
-  /** @returns whether a daemon would accept the patch, and which fields break rules; nothing is written */
+  /** @returns whether a daemon would accept the patch, and which fields are invalid; nothing is changed */
   async validatePatch (body: ValidationRequest): CallResult<messages.ValidationResult> {
     const path = '/v1/config/validate'
     const answer = await this.callAnyDaemon({ kind: CallKind.Read, step: 'validate-patch', path, body }, messages.decodeValidation)
     if (answer.ok) return answer
-    // A daemon may name the faulty fields in a problem document, as it does for a patch that is applied.
+    // A daemon may report the invalid fields in a problem document instead, as it does when a patch is applied.
     const problems = answer.val.problem?.problems ?? []
     return problems.length === 0 ? answer : Ok({ valid: false, problems })
   }
 
-  /** @returns what the patch's drains would do under the demand measured now; nothing is written */
+  /** @returns the predicted effect of the patch's drains under the current demand; nothing is changed */
   predictDrain (body: ValidationRequest): CallResult<DrainPrediction> {
     return this.callAnyDaemon({ kind: CallKind.Read, step: 'predict-drain', path: '/v1/drains/predict', body }, decodePrediction)
   }
 
   /**
-   * Sends a change until a daemon gives a definite answer. It goes on to another
-   * daemon only after a proven failure without effect; a lost answer ends with
-   * `EffectUnknown` at once.
+   * Sends a change to one daemon after another until one gives a definite answer. Tries the
+   * next daemon only after a failure that certainly had no effect; returns `EffectUnknown`
+   * at once if an answer is lost.
    * @param body the change
    * @returns the new head
    */
@@ -118,21 +118,21 @@
     return this.callNode(peer, 'read-status', '/v1/status', callDeadline, messages.decodeVersionInForce)
   }
 
-  /** @returns one node's progress with all drains */
+  /** @returns the node's progress with all drains */
   listDrains (peer: string, callDeadline: Deadline): CallResult<readonly messages.NodeDrain[]> {
     return this.callNode(peer, 'list-drains', '/v1/drains', callDeadline, messages.decodeDrains)
   }
 
-  /** @returns what one node counted for its burn report, decoded by the caller */
+  /** @returns the node's counts for the burn report, decoded by the caller's function */
   readBurn<T> (peer: string, callDeadline: Deadline, decode: Decode<T>): CallResult<T> {
     return this.callNode(peer, 'read-burn', '/v1/burn', callDeadline, decode)
   }
 
   /**
    * @param peer `host:port` of a callers' listener
-   * @param service the service
-   * @param clientAddress looks up on behalf of this IP number; believed only if the daemon trusts this machine
-   * @returns the entry VMs to use
+   * @param service the service to look up
+   * @param clientAddress the IP address to look up on behalf of; ignored unless the daemon trusts this machine as a forwarder
+   * @returns the entry VMs that a caller is told to use
    */
   lookUp (peer: string, service: string, clientAddress: string | undefined): CallResult<LookupAnswer> {
     const path = `/v1/lookup?service=${encodeURIComponent(service)}`
@@ -140,7 +140,7 @@
     return this.transport.call({ kind: CallKind.Read, step: 'look-up', peer, path, headers, deadline: this.deadline }, messages.decodeLookup)
   }
 
-  /** @returns the present */
+  /** @returns the current instant */
   getNow (): Instant {
     return this.clock.now()
   }
@@ -171,7 +171,7 @@
     return Err(this.mergeFailures(call.step, failures))
   }
 
-  /** A daemon that does not answer uses up only its part of the time, so that the next is still asked. */
+  /** Divides the remaining time, so that a daemon that does not answer leaves enough time to try the next one. */
   private computeAttemptDeadline (shares: number): Deadline {
     const now = this.clock.now()
     return createDeadline(now, getRemainingMs(this.deadline, now) / shares)
@@ -182,6 +182,6 @@
     const code = hasTimedOut ? ErrorCode.DeadlinePassed : ErrorCode.Unavailable
     const reasons = failures.map((failure) => `${failure.peer}: ${failure.message}`).join('; ')
     const peer = failures.map((failure) => failure.peer).join(',')
-    return new OperatorError({ code, step, peer, message: `no daemon could do it: ${reasons}` }, failures.at(-1)?.problem)
+    return new OperatorError({ code, step, peer, message: `no daemon could handle the request: ${reasons}` }, failures.at(-1)?.problem)
   }
 }
--- a/packages/cli/src/node/patchSubmitter.ts
+++ b/packages/cli/src/node/patchSubmitter.ts
@@ -1,4 +1,4 @@
-/** Submits a change exactly once and finds out what became of it. */
+/** Submits a change so that it takes effect at most once, and determines its outcome if the answer is lost. */
 import type { IClock } from '@umberspar/base/common/clock'
 import { createDeadline, hasPassed } from '@umberspar/base/common/deadline'
 import { ErrorCode } from '@umberspar/base/common/errors'
@@ -15,11 +15,11 @@
 export interface AppliedPatch {
   readonly version: number
   readonly changeId: string
-  /** Whether the answer was lost and the effect was found out by asking again. */
+  /** Whether the answer was lost, and the effect was determined by later reads. */
   readonly isSettledLater: boolean
 }
 
-/** A change to make. */
+/** A change to submit. */
 export interface PatchSubmission {
   readonly baseVersion: number
   readonly patch: JsonObject
@@ -31,7 +31,7 @@
 /**
  * @param clock the source of time
  * @param durationMs how long to wait
- * @returns settled when the span has passed
+ * @returns a promise that resolves when the time has passed
  */
 export async function waitFor (clock: IClock, durationMs: number): Promise<void> {
   await new Promise<void>((resolve) => {
@@ -39,7 +39,7 @@
   })
 }
 
-/** Sends patches and settles lost answers. */
+/** Sends patches, and determines their effect if an answer is lost. */
 export class PatchSubmitter {
   constructor (
     private readonly client: OperatorClient,
@@ -47,12 +47,12 @@
   ) {}
 
   /**
-   * Sends one change under one new changeId. A lost answer (the connection
-   * broke, or time ran out after sending) shows as `EffectUnknown`; then the
-   * head and the history say whose change became the next version. The change
-   * is never sent again under another id, so it can't take effect twice.
-   * @param submission what to change, against which version
-   * @returns the version made; `Conflict` if another change came first; `EffectUnknown` if the deadline came before a verdict
+   * Sends a change with a new changeId. If the answer is lost (the connection broke, or
+   * the call timed out after sending), the call ends with `EffectUnknown`. In that case, the
+   * head and the history of the configuration tell which change became the next version.
+   * The change is never sent again with another id, so it can't take effect twice.
+   * @param submission the patch, and the version that it was made against
+   * @returns the new version; `Conflict` if another change was accepted first; `EffectUnknown` if the outcome is still unknown at the deadline
    */
   async send (submission: PatchSubmission): Promise<Result<AppliedPatch, OperatorError>> {
     const request: PatchRequest = { ...submission, changeId: this.io.createChangeId() }
@@ -61,7 +61,7 @@
       return Ok({ version: answer.val.version, changeId: request.changeId, isSettledLater: false })
     }
     if (answer.val.code !== ErrorCode.EffectUnknown) return Err(answer.val)
-    this.io.terminal.printError(`umberspar: the answer to change ${request.changeId} was lost (peer ${answer.val.peer}: ${answer.val.message}); asking whether it took effect`)
+    this.io.terminal.printError(`umberspar: the answer to change ${request.changeId} was lost (peer ${answer.val.peer}: ${answer.val.message}); checking whether it took effect`)
     return await this.settle(request, answer.val)
   }
 
@@ -74,7 +74,7 @@
       if (resolved?.outcome === PatchOutcome.NotApplied) return Err(this.buildConflict(request, lostAnswer.peer, resolved.version))
       await waitFor(this.io.clock, this.io.pollSpanMs)
     }
-    const message = `change ${request.changeId} against version ${request.baseVersion} may or may not have taken effect; look for this id by 'umberspar config history' before trying again (${lostAnswer.message})`
+    const message = `change ${request.changeId} against version ${request.baseVersion} may or may not have taken effect; look for this id in the output of 'umberspar config history' before you try again (${lostAnswer.message})`
     return Err(new OperatorError({ code: ErrorCode.EffectUnknown, step: SETTLE_STEP, peer: lostAnswer.peer, message, cause: lostAnswer }))
   }
 
--- a/packages/cli/src/node/runCli.ts
+++ b/packages/cli/src/node/runCli.ts
@@ -1,4 +1,4 @@
-/** One run of the client: arguments in, exit code out. */
+/** Parses and runs one command line. */
 import createParser from 'yargs'
 import type { Argv, Arguments } from 'yargs'
 import { createDeadline } from '@umberspar/base/common/deadline'
@@ -26,14 +26,14 @@
 const DEFAULT_WAIT_TIMEOUT_SECONDS = 600
 const MS_PER_SECOND = 1000
 
-/** The command that the arguments chose. */
+/** The command that the arguments select. */
 interface ChosenCommand {
   readonly run: CommandHandler
   readonly settings: CommandSettings
   readonly options: GlobalOptions
 }
 
-/** What parsing gave: a command, or text (help, version, completion script). */
+/** The result of parsing: a command, or text to print (help, version, completion script). */
 interface ParsedCommandLine {
   readonly chosen: ChosenCommand | undefined
   readonly output: string
@@ -43,7 +43,7 @@
   const parser = addGlobalOptions(createParser(argv))
     .scriptName('umberspar')
     .usage('umberspar COMMAND\n\nOperates a fleet of umberspard daemons.')
-    // Steering names contain hyphens and JSON paths contain dots: both stay as written.
+    // Option names contain hyphens and JSON paths contain dots; yargs must not rewrite or split them.
     .parserConfiguration({ 'camel-case-expansion': false, 'dot-notation': false, 'parse-positional-numbers': false })
     .detectLocale(false)
     .wrap(HELP_WIDTH_COLUMNS)
@@ -55,7 +55,7 @@
     .demandCommand(1, 'expected a command')
     .completion('completion', 'Print a completion script for the shell')
     .example('umberspar status --daemon 10.0.0.1:9100', 'Show the fleet')
-    .example('umberspar completion >> ~/.bashrc', 'Complete commands by the tabulator key')
+    .example('umberspar completion >> ~/.bashrc', 'Complete commands with the Tab key')
   addConfigCommands(parser, register)
   addDrainCommands(parser, register)
   addStatusCommand(parser, register)
@@ -72,7 +72,7 @@
     chosen = { run, settings, options: readGlobalOptions(args, io.environment) }
   }
   let failure: Error | null = null
-  // For completions yargs calls back once for each level of commands; the last call holds the text.
+  // For completions, yargs calls back once for each level of commands; the last call has the text.
   await buildParser(argv, register).parse(argv, {}, (error, _args, text) => {
     failure = error ?? null
     output = text
@@ -102,7 +102,7 @@
 async function runCommand (chosen: ChosenCommand, io: CliIo): Promise<ExitCode> {
   const { daemons, isJson } = chosen.options
   if (daemons.length === 0 && chosen.settings.needsDaemon !== false) {
-    return printUsageError(io, isJson, `no daemon named: give --daemon host:port or set ${DAEMONS_VARIABLE}`)
+    return printUsageError(io, isJson, `no daemon given: use --daemon host:port or set ${DAEMONS_VARIABLE}`)
   }
   const tls = await loadClientTls(chosen.options.tls, io.clock)
   if (!tls.ok) return printFailure(io, isJson, tls.val)
@@ -120,10 +120,10 @@
 }
 
 /**
- * Runs one command line within this process.
+ * Runs one command line in this process.
  * @param argv the arguments after the program's name
- * @param io the surroundings
- * @returns how the process should end
+ * @param io the environment of the run
+ * @returns the exit code for the process
  */
 export async function runCli (argv: readonly string[], io: CliIo): Promise<ExitCode> {
   let parsed: ParsedCommandLine
--- a/packages/cli/src/node/terminal.ts
+++ b/packages/cli/src/node/terminal.ts
@@ -1,14 +1,14 @@
-/** The operator's terminal: the only module of the client that may use the console. */
+/** The operator's terminal. No other module of the client uses the console. */
 
 /** Where a command's output goes. */
 export interface ITerminal {
-  /** Writes results, with a newline. */
+  /** Writes a result, followed by a newline. */
   print(text: string): void
-  /** Writes errors, notes and progress, with a newline. */
+  /** Writes an error, a note or progress, followed by a newline. */
   printError(text: string): void
 }
 
-/** Standard output and standard error. */
+/** Writes to standard output and standard error. */
 export const PROCESS_TERMINAL: ITerminal = {
   print: (text) => console.log(text),
   printError: (text) => console.error(text)
--- a/packages/cli/test/common/errorFormat.test.ts
+++ b/packages/cli/test/common/errorFormat.test.ts
@@ -3,11 +3,10 @@
 import { formatProblems } from '../../src/common/errorFormat.js'
 import { checkWholeConfiguration } from '../../src/common/localValidation.js'
 
-describe('problems of a configuration', () => {
-  it('say once what is expected', () => {
-    // An operator validates a file with a cap of 2 and reads the same
-    // expectation twice in one line: the daemon's sentence holds it already,
-    // and the client wrote it once more behind.
+describe('formatProblems', () => {
+  it('states the expectation only once', () => {
+    // A validation message often contains the expectation already. The client
+    // used to append it to the line a second time.
     const { problems } = checkWholeConfiguration({ shiftCaps: { planned: 2 }, services: 'none' })
     const lines = formatProblems(problems)
     assert.ok(problems.length > 1)
@@ -15,7 +14,7 @@
     for (const line of lines) assert.equal(line.split('expected ').length, 2, line)
   })
 
-  it('say what is expected where the sentence does not', () => {
+  it('appends the expectation if the message does not contain it', () => {
     const problem = { path: 'services.x.spede', expected: 'no field of this name', message: "unknown field 'spede'" }
     assert.deepEqual(formatProblems([problem]), ["  services.x.spede: unknown field 'spede' (expected no field of this name)"])
     assert.deepEqual(formatProblems([{ path: '', expected: '', message: 'no JSON' }]), ['  (whole document): no JSON'])
--- a/packages/cli/test/node/fakeFleet.ts
+++ b/packages/cli/test/node/fakeFleet.ts
@@ -1,4 +1,4 @@
-/** A small fake of daemons' operators' listeners over one shared configuration. */
+/** Fakes the operators' listeners of daemons that share one configuration. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -7,7 +7,7 @@
 import type { CliIo } from '../../src/node/cliIo.js'
 import { runCli } from '../../src/node/runCli.js'
 
-/** The store that the fake daemons share. */
+/** The configuration and its history, shared by the fake daemons. */
 export interface FakeStore {
   version: number
   changeId: string
@@ -15,7 +15,7 @@
   entries: Array<{ version: number, changeId: string, baseVersion: number, note: string, atWallMs: number }>
 }
 
-/** A patch as a fake daemon received it. */
+/** A patch request that a fake daemon received. */
 export interface ReceivedPatch {
   readonly baseVersion: number
   readonly changeId: string
@@ -23,16 +23,16 @@
   readonly note: string
 }
 
-/** Answers a request itself and returns true, or leaves it to the fake. */
+/** Handles a request and returns true, or returns false for the default answer. */
 export type RequestOverride = (request: IncomingMessage, response: ServerResponse, store: FakeStore, received: ReceivedPatch | undefined) => boolean
 
-/** Creates a store at a version, with one change behind it. */
+/** Creates a store at the given version, with one change in its history. */
 export function createStore (version: number, body: Record<string, unknown>): FakeStore {
   const changeId = `change-${version}`
   return { version, changeId, body, entries: [{ version, changeId, baseVersion: version - 1, note: 'before', atWallMs: 0 }] }
 }
 
-/** Makes a change the next version, as the compare-and-swap of the head does. */
+/** Applies a change as the next version. */
 export function applyChange (store: FakeStore, change: { changeId: string, note: string, patch: Record<string, unknown> }): void {
   store.entries.push({ version: store.version + 1, changeId: change.changeId, baseVersion: store.version, note: change.note, atWallMs: 0 })
   store.version += 1
@@ -40,7 +40,7 @@
   store.body = { ...store.body, ...change.patch }
 }
 
-/** Sends a JSON answer. */
+/** Sends a JSON response, as a problem document for an error status. */
 export function answerJson (response: ServerResponse, status: number, value: unknown): void {
   response.writeHead(status, { 'content-type': status < 400 ? 'application/json' : 'application/problem+json' })
   response.end(JSON.stringify(value))
@@ -50,12 +50,12 @@
   return { version: store.version, changeId: store.changeId, digest: 'd'.repeat(16) }
 }
 
-/** One fake daemon. */
+/** A fake daemon. */
 export class FakeDaemon {
-  /** What it was asked, as `METHOD path`. */
+  /** The requests that it received, as `METHOD path`. */
   readonly requestLines: string[] = []
   readonly patches: ReceivedPatch[] = []
-  /** Answers of GET paths beside the configuration's. */
+  /** Builds the answers for further paths, by path. */
   readonly answers = new Map<string, () => unknown>()
   override: RequestOverride = () => false
   private readonly server: Server
@@ -113,7 +113,7 @@
   }
 }
 
-/** A clock that a fake can set past every deadline, so that no test waits for one. */
+/** A clock that a test can advance past all deadlines, so that it need not wait for them. */
 export class AdjustableClock extends SystemClock {
   private offsetMs = 0
 
@@ -125,13 +125,13 @@
     return super.schedule(at - this.offsetMs, callback)
   }
 
-  /** Puts the clock forward by a day. */
-  setPastDeadlines (): void {
+  /** Advances the clock by a day. */
+  setPastAllDeadlines (): void {
     this.offsetMs = 86_400_000
   }
 }
 
-/** What a run printed and how it ended. */
+/** The exit code and the printed text of a run. */
 export interface RunReport {
   readonly exitCode: number
   readonly output: string
@@ -139,10 +139,10 @@
 }
 
 /**
- * Runs one command line in this process; change ids are `id-1`, `id-2` and so on.
+ * Runs one command line in this process. Change ids are `id-1`, `id-2` and so on.
  * @param argv the arguments
- * @param environment the environment's variables
- * @param clock the run's clock
+ * @param environment the environment variables
+ * @param clock the clock of the run
  */
 export async function runCommandLine (argv: readonly string[], environment: Record<string, string> = {}, clock = new AdjustableClock()): Promise<RunReport> {
   const output: string[] = []
@@ -159,7 +159,7 @@
   return { exitCode, output: output.join('\n'), errors: errors.join('\n') }
 }
 
-/** Builds a fleet's entry for a fake daemon. */
+/** Builds the entry of a node for the answer of `/v1/fleet`. */
 export function buildNode (nodeId: string, operatorAddress: string, state = 'live'): object {
   return { nodeId, region: 'klang', failureDomain: 'klang-a', state, callersAddress: operatorAddress, operatorAddress, configurationVersion: 7 }
 }
--- a/packages/cli/test/node/fleet.test.ts
+++ b/packages/cli/test/node/fleet.test.ts
@@ -5,7 +5,7 @@
 import { buildNode, createStore, FakeDaemon, AdjustableClock, runCommandLine } from './fakeFleet.js'
 
 const openedDaemons: FakeDaemon[] = []
-/** Nothing listens here: port 1 of the loopback is never given out by the system. */
+/** Nothing listens here, because the system never assigns port 1. */
 const CLOSED_ADDRESS = '127.0.0.1:1'
 
 async function openDaemons (count: number): Promise<FakeDaemon[]> {
@@ -23,10 +23,10 @@
 })
 
 describe('drain --wait', () => {
-  it('calls it safe to stop only when every node that may still send says so', async () => {
-    // One node has not yet adopted the drain and does not list it; another has
-    // two uploads open. Were either overlooked, the machines would be stopped
-    // under requests in flight.
+  it('reports machines as safe to stop only when every node that may still send traffic agrees', async () => {
+    // One node has not adopted the drain yet and does not list it; another still has
+    // open uploads. If either were ignored, the machines would be stopped while
+    // requests are in flight.
     const [first, second] = await openDaemons(2)
     assert.ok(first !== undefined && second !== undefined)
     setFleet(first, [buildNode('n1', first.address), buildNode('n2', second.address), buildNode('n3', CLOSED_ADDRESS, 'suspected')])
@@ -48,9 +48,9 @@
     assert.match(report.errors, /no answer from n3/)
   })
 
-  it('does not call it safe while a live node gives no answer, unless the operator vouches for it', async () => {
-    // The operator's machine can't reach n2, but its peers still count on it, so
-    // it may be sending requests to the machines that are about to be stopped.
+  it('does not report success while a live node is unreachable, unless --allow-unreachable is given', async () => {
+    // The client can't reach n2, but the other daemons see it as live, so it may
+    // still be sending requests to the machines that are about to be stopped.
     const [first] = await openDaemons(1)
     assert.ok(first !== undefined)
     setFleet(first, [buildNode('n1', first.address), buildNode('n2', CLOSED_ADDRESS)])
@@ -58,22 +58,22 @@
     let rounds = 0
     first.answers.set('/v1/drains', () => {
       rounds += 1
-      if (rounds === 3) clock.setPastDeadlines()
+      if (rounds === 3) clock.setPastAllDeadlines()
       return { drains: [{ target: 'klang-a', kind: 'failure-domain', weight: 0, inFlight: 0, isSafeToStop: true }] }
     })
     const line = ['drain', 'failure-domain', 'klang-a', '--wait', '--daemon', first.address, '--json']
-    const blocked = await runCommandLine(line, {}, clock)
-    assert.equal(blocked.exitCode, ExitCode.NotYet)
-    assert.match((JSON.parse(blocked.errors) as { error: { message: string } }).error.message, /no answer from n2/)
-    const vouched = await runCommandLine([...line, '--allow-unreachable'])
-    assert.equal(vouched.exitCode, ExitCode.Ok)
-    const { progress } = JSON.parse(vouched.output) as { progress: Record<string, unknown> }
+    const blockedReport = await runCommandLine(line, {}, clock)
+    assert.equal(blockedReport.exitCode, ExitCode.NotYet)
+    assert.match((JSON.parse(blockedReport.errors) as { error: { message: string } }).error.message, /no answer from n2/)
+    const allowedReport = await runCommandLine([...line, '--allow-unreachable'])
+    assert.equal(allowedReport.exitCode, ExitCode.Ok)
+    const { progress } = JSON.parse(allowedReport.output) as { progress: Record<string, unknown> }
     assert.deepEqual([progress.isDone, progress.unreachable], [true, ['n2']])
   })
 })
 
 describe('reports over the fleet', () => {
-  it('merges burn counts of the nodes that answer and says how many did', async () => {
+  it('merges the burn counts of the nodes that answer and prints their number', async () => {
     const [first, second] = await openDaemons(2)
     assert.ok(first !== undefined && second !== undefined)
     setFleet(first, [buildNode('n1', first.address), buildNode('n2', second.address), buildNode('n3', CLOSED_ADDRESS)])
@@ -97,7 +97,7 @@
     assert.equal(unknown.exitCode, ExitCode.Refused)
   })
 
-  it('prints documents that parse for every reading command', async () => {
+  it('prints valid JSON for every read command', async () => {
     const [first] = await openDaemons(1)
     assert.ok(first !== undefined)
     setFleet(first, [buildNode('n1', first.address)])
@@ -127,7 +127,7 @@
   const commands = [[], ['config'], ['config', 'get'], ['config', 'validate'], ['config', 'patch'], ['config', 'history'], ['config', 'status'],
     ['drain'], ['drain', 'failure-domain'], ['drain', 'region'], ['drain', 'place'], ['undrain'], ['undrain', 'place'], ['status'], ['lookup'], ['report'], ['report', 'burn']]
 
-  it('has help with examples on every command, and completion', async () => {
+  it('has help with examples for every command, and shell completion', async () => {
     for (const command of commands) {
       const report = await runCommandLine([...command, '--help'])
       assert.equal(report.exitCode, ExitCode.Ok, command.join(' '))
@@ -138,14 +138,14 @@
     assert.match((await runCommandLine(['--version'])).output, /^\d+\.\d+\.\d+$/)
   })
 
-  it('ends with exit code 2 and sends nothing for a wrong line', async () => {
+  it('ends with exit code 2 and sends nothing if the command line is invalid', async () => {
     const [first] = await openDaemons(1)
-    const wrong = [
+    const invalidLines = [
       [], ['nonsense'], ['drain'], ['config', 'patch', '--set', 'a=1'], ['config', 'patch', '--base', '7'], ['config', 'patch', '--base', 'x', '--set', 'a=1'],
       ['config', 'patch', '--base', '7', '--set', 'a=text'], ['config', 'patch', '--base', '7', '--set', '__proto__.a=1'],
       ['status', '--nonsense'], ['status', '--timeout', '0'], ['lookup', '--service', 'billing-svc', '--client-address', 'here']
     ]
-    for (const line of wrong) {
+    for (const line of invalidLines) {
       const report = await runCommandLine([...line, '--daemon', first?.address ?? '', '--json'])
       assert.equal(report.exitCode, ExitCode.Usage, line.join(' '))
       assert.equal((JSON.parse(report.errors) as { error: { code: string } }).error.code, 'usage')
@@ -154,7 +154,7 @@
     assert.deepEqual(first?.requestLines, [])
   })
 
-  it('checks a whole configuration without a daemon', async () => {
+  it('validates a complete configuration without a daemon', async () => {
     const file = fileURLToPath(new URL('../../../package.json', import.meta.url))
     const report = await runCommandLine(['config', 'validate', '--file', file, '--json'])
     assert.equal(report.exitCode, ExitCode.Refused)
--- a/packages/cli/test/node/patch.test.ts
+++ b/packages/cli/test/node/patch.test.ts
@@ -21,15 +21,15 @@
 }
 
 describe('config patch', () => {
-  it('reports a stale base with exit code 4, both versions and the paths', async () => {
-    // An operator patches version 7 while a colleague's patch has just made 8.
-    // The daemon refuses; the operator must see which versions and fields clash,
-    // and nothing may be sent a second time.
+  it('reports a stale base version with exit code 4, both versions and the conflicting paths', async () => {
+    // The patch is made against version 7, but another operator's patch has just become
+    // version 8. The daemon refuses it. The error must show the conflicting versions and
+    // fields, and the patch must not be sent a second time.
     const daemon = await openDaemon(createStore(8, {}))
     const plain = await runCommandLine(buildPatchLine([daemon.address]))
     assert.equal(plain.exitCode, ExitCode.Conflict)
     assert.match(plain.errors, /made against version: 7/)
-    assert.match(plain.errors, /present version: {6}8/)
+    assert.match(plain.errors, /current version: {6}8/)
     assert.match(plain.errors, /conflicting paths: {4}lookupCacheMs/)
     assert.match(plain.errors, /step send-patch, peer 127\.0\.0\.1:/)
     assert.equal(daemon.patches.length, 1)
@@ -39,10 +39,10 @@
     assert.deepEqual([error.code, error.exitCode, error.baseVersion, error.currentVersion, error.conflictingPaths], ['conflict', 4, 7, 8, ['lookupCacheMs']])
   })
 
-  it('settles a lost answer by the changeId at another daemon', async () => {
-    // The daemon applies the patch and dies before it answers. The operator sees
-    // a broken connection. Sent again under a new id, the patch would be refused
-    // as stale and look as if it had failed; the history says that it took effect.
+  it('finds out by the changeId at another daemon that a change took effect', async () => {
+    // The daemon applies the patch and breaks the connection before it answers. If the
+    // patch were sent again with a new id, it would be refused as stale and seem to have
+    // failed. The history shows that it took effect.
     const store = createStore(7, {})
     const first = await openDaemon(store)
     const second = await openDaemon(store)
@@ -61,9 +61,9 @@
     assert.deepEqual(second.requestLines, ['GET /v1/config', 'GET /v1/config/history'])
   })
 
-  it('settles a lost answer as a conflict when another change became the next version', async () => {
-    // The connection breaks before the daemon writes, and a colleague's change
-    // becomes version 8: the patch against 7 can never take effect any more.
+  it('reports a conflict after a lost answer when another change became the next version', async () => {
+    // The connection breaks before the daemon writes the patch, and another operator's
+    // change becomes version 8, so the patch against version 7 can never take effect.
     const daemon = await openDaemon(createStore(7, {}))
     daemon.override = (request, response, shared, received) => {
       if (received === undefined) return false
@@ -77,13 +77,13 @@
     assert.equal(daemon.patches.length, 1)
   })
 
-  it('ends with exit code 6 and the changeId when nothing settles a lost answer', async () => {
-    // The daemon loses the store's answer and says that the outcome is unknown;
-    // no daemon shows a version beyond the base until the deadline.
+  it('ends with exit code 6 and the changeId when the outcome remains unknown', async () => {
+    // The daemon gets no answer from the store and reports an unknown outcome. Until the
+    // deadline, no daemon shows a version newer than the base version.
     const daemon = await openDaemon(createStore(7, {}))
     const clock = new AdjustableClock()
     daemon.override = (request, response, shared, received) => {
-      if (daemon.requestLines.length === 7) clock.setPastDeadlines()
+      if (daemon.requestLines.length === 7) clock.setPastAllDeadlines()
       if (received === undefined) return false
       answerJson(response, 504, { title: 'effect-unknown', detail: 'the store gave no answer', outcome: 'unknown' })
       return true
@@ -94,39 +94,39 @@
     assert.equal(daemon.patches.length, 1)
   })
 
-  it('goes on to the next daemon with the same changeId only after a proven not-run', async () => {
-    // The first daemon is down and the second has lost the store; both say so
-    // before any effect, so the third may be given the same change.
+  it('tries the next daemon with the same changeId only after a failure that had no effect', async () => {
+    // The first daemon is down, and the second can't reach the store and answers not-run.
+    // Neither had an effect, so the change may be sent to the third.
     const store = createStore(7, {})
     const down = await new FakeDaemon(store).open()
     await down.close()
-    const cut = await openDaemon(store)
-    cut.override = (request, response) => {
+    const disconnected = await openDaemon(store)
+    disconnected.override = (request, response) => {
       answerJson(response, 503, { title: 'unavailable', detail: 'the store is out of reach', outcome: 'not-run' })
       return true
     }
     const third = await openDaemon(store)
-    const report = await runCommandLine(['config', 'patch', '--base', '7', '--set', 'lookupCacheMs=3000'], { UMBERSPAR_DAEMONS: `${down.address}, ${cut.address},${third.address}` })
+    const report = await runCommandLine(['config', 'patch', '--base', '7', '--set', 'lookupCacheMs=3000'], { UMBERSPAR_DAEMONS: `${down.address}, ${disconnected.address},${third.address}` })
     assert.equal(report.exitCode, ExitCode.Ok)
     assert.equal(report.output, 'accepted as version 8, change id-1')
     assert.deepEqual(third.patches, [{ baseVersion: 7, changeId: 'id-1', patch: { lookupCacheMs: 3000 }, note: '' }])
-    const none = await runCommandLine(['status', '--daemon', down.address, '--json'])
-    assert.equal(none.exitCode, ExitCode.Unreachable)
-    assert.equal((JSON.parse(none.errors) as { error: { peer: string } }).error.peer, down.address)
+    const unreachableReport = await runCommandLine(['status', '--daemon', down.address, '--json'])
+    assert.equal(unreachableReport.exitCode, ExitCode.Unreachable)
+    assert.equal((JSON.parse(unreachableReport.errors) as { error: { peer: string } }).error.peer, down.address)
   })
 })
 
 describe('drain', () => {
-  it('adds its element to the new version when a colleague drains at the same time', async () => {
-    // Two operators drain two domains at once. The slower one's patch holds the
-    // whole array of version 7; re-sent as it is against version 8 it would
-    // silently undo the colleague's drain.
+  it('keeps the other drain when two operators drain at the same time', async () => {
+    // Two operators drain different failure domains at the same time. The later patch
+    // contains the whole array of version 7. If it were sent again unchanged against
+    // version 8, it would silently remove the other operator's drain.
     const store = createStore(7, { drains: { failureDomains: ['klang-a'] } })
     const daemon = await openDaemon(store)
-    let isRaced = false
+    let hasConflicted = false
     daemon.override = (request, response, shared, received) => {
-      if (received === undefined || isRaced) return false
-      isRaced = true
+      if (received === undefined || hasConflicted) return false
+      hasConflicted = true
       applyChange(shared, { changeId: 'colleague', note: '', patch: { drains: { failureDomains: ['klang-a', 'penang-a'] } } })
       return false
     }
@@ -134,11 +134,11 @@
     assert.equal(report.exitCode, ExitCode.Ok)
     assert.deepEqual(store.body.drains, { failureDomains: ['klang-a', 'penang-a', 'penang-b'] })
     assert.deepEqual(daemon.patches.map((patch) => [patch.baseVersion, patch.changeId]), [[7, 'id-1'], [8, 'id-2']])
-    const again = await runCommandLine(['drain', 'failure-domain', 'penang-b', '--daemon', daemon.address, '--json'])
-    assert.deepEqual(JSON.parse(again.output), { direction: 'drain', kind: 'failure-domain', target: 'penang-b', version: 9, isChanged: false })
+    const repeatReport = await runCommandLine(['drain', 'failure-domain', 'penang-b', '--daemon', daemon.address, '--json'])
+    assert.deepEqual(JSON.parse(repeatReport.output), { direction: 'drain', kind: 'failure-domain', target: 'penang-b', version: 9, isChanged: false })
   })
 
-  it('gives up with the conflict after a bounded number of races', async () => {
+  it('reports the conflict after a limited number of attempts', async () => {
     const daemon = await openDaemon(createStore(7, {}))
     daemon.override = (request, response, shared, received) => {
       if (received !== undefined) applyChange(shared, { changeId: `colleague-${shared.version}`, note: '', patch: {} })
@@ -146,8 +146,8 @@
     }
     const report = await runCommandLine(['undrain', 'place', 'billing-svc', 'klang-a', '--daemon', daemon.address])
     assert.equal(report.exitCode, ExitCode.Ok)
-    const raced = await runCommandLine(['drain', 'place', 'billing-svc', 'klang-a', '--daemon', daemon.address])
-    assert.equal(raced.exitCode, ExitCode.Conflict)
+    const conflictReport = await runCommandLine(['drain', 'place', 'billing-svc', 'klang-a', '--daemon', daemon.address])
+    assert.equal(conflictReport.exitCode, ExitCode.Conflict)
     assert.equal(daemon.patches.length, 5)
     assert.deepEqual(daemon.patches[0]?.patch, { drains: { places: [{ service: 'billing-svc', failureDomain: 'klang-a' }] } })
   })
