--- a/packages/cli/src/common/drainProgress.ts
+++ b/packages/cli/src/common/drainProgress.ts
@@ -27,9 +27,9 @@
 }
 
 /**
- * States of nodes that the other daemons treat as failed. A node in any other state
- * may still be sending to the target although this client can't reach it, so the
- * drain is not complete until that node answers.
+ * States of nodes that the other daemons suspect to have failed, or have removed. A node
+ * in any other state may still be sending to the target although this client can't reach
+ * it, so the drain is not complete until that node answers.
  */
 const EXCLUDED_STATES: ReadonlySet<string> = new Set(['suspected', 'gone'])
 
--- a/packages/cli/src/common/drainTarget.ts
+++ b/packages/cli/src/common/drainTarget.ts
@@ -80,10 +80,10 @@
 export function buildDrainPatch (body: JsonObject, target: DrainTarget, direction: DrainDirection): JsonObject | undefined {
   const drains = isJsonObject(body.drains) ? body.drains : {}
   const field = FIELD_BY_KIND[target.kind]
-  const present = DECODE_BY_KIND[target.kind](drains[field])
+  const current = DECODE_BY_KIND[target.kind](drains[field])
   const targetName = getTargetName(target)
-  const others = present.filter((element) => getElementName(element) !== targetName)
-  const isDrained = others.length < present.length
+  const others = current.filter((element) => getElementName(element) !== targetName)
+  const isDrained = others.length < current.length
   if (isDrained === (direction === DrainDirection.Drain)) return undefined
   return { drains: { [field]: BUILD_ELEMENTS_BY_DIRECTION[direction](others, getElement(target)) } }
 }
--- a/packages/cli/src/common/errorFormat.ts
+++ b/packages/cli/src/common/errorFormat.ts
@@ -52,10 +52,10 @@
  * @returns lines for standard error
  */
 export function formatError (error: StepError): string {
-  const first = `umberspar: ${error.message} (step ${error.step}, peer ${error.peer})`
+  const summary = `umberspar: ${error.message} (step ${error.step}, peer ${error.peer})`
   const problem = getProblem(error)
-  if (problem === undefined) return first
-  return [first, ...formatVersions(problem), ...formatProblems(problem.problems)].join('\n')
+  if (problem === undefined) return summary
+  return [summary, ...formatVersions(problem), ...formatProblems(problem.problems)].join('\n')
 }
 
 /**
--- a/packages/cli/src/common/exitCode.ts
+++ b/packages/cli/src/common/exitCode.ts
@@ -17,7 +17,7 @@
   /** A change was sent but its answer was lost; the change may have taken effect. */
   EffectUnknown = 6,
   /** The command did not complete before its deadline. */
-  NotYet = 7
+  DeadlinePassed = 7
 }
 
 const EXIT_CODE_BY_ERROR_CODE: Readonly<Record<ErrorCode, ExitCode>> = {
@@ -28,8 +28,8 @@
   [ErrorCode.Exhausted]: ExitCode.Unreachable,
   [ErrorCode.Unavailable]: ExitCode.Unreachable,
   [ErrorCode.EffectUnknown]: ExitCode.EffectUnknown,
-  [ErrorCode.DeadlinePassed]: ExitCode.NotYet,
-  [ErrorCode.Cancelled]: ExitCode.NotYet,
+  [ErrorCode.DeadlinePassed]: ExitCode.DeadlinePassed,
+  [ErrorCode.Cancelled]: ExitCode.DeadlinePassed,
   [ErrorCode.Internal]: ExitCode.Internal
 }
 
--- a/packages/cli/src/common/explainRequest.ts
+++ b/packages/cli/src/common/explainRequest.ts
@@ -92,11 +92,11 @@
   }
 
   private getConclusion (): string {
-    const end = this.requestLines.findLast(({ step }) => step === 'end-request')
-    if (end === undefined) return this.requestLines.length === 0 ? 'No line names this request: it did not reach an entry VM, or its log lines were dropped.' : 'The request has not ended, or the entry process was killed before it ended.'
-    const conclusion = CONCLUSION_BY_REASON[String(end.fields.reason)] ?? `The request ended with outcome ${String(end.fields.end)}.`
-    const isLate = Number(end.fields.spanMs) > Number(end.fields.goalMs)
-    return isLate ? `${conclusion} It took ${String(end.fields.spanMs)} ms where ${String(end.fields.goalMs)} ms are the goal: compare expectedMs, waitMs and handChance of its offers.` : conclusion
+    const endLine = this.requestLines.findLast(({ step }) => step === 'end-request')
+    if (endLine === undefined) return this.requestLines.length === 0 ? 'No line names this request: it did not reach an entry VM, or its log lines were dropped.' : 'The request has not ended, or the entry process was killed before it ended.'
+    const conclusion = CONCLUSION_BY_REASON[String(endLine.fields.reason)] ?? `The request ended with outcome ${String(endLine.fields.end)}.`
+    const isLate = Number(endLine.fields.spanMs) > Number(endLine.fields.goalMs)
+    return isLate ? `${conclusion} It took ${String(endLine.fields.spanMs)} ms where ${String(endLine.fields.goalMs)} ms are the goal: compare expectedMs, waitMs and handChance of its offers.` : conclusion
   }
 }
 
--- a/packages/cli/src/common/fleetFormat.ts
+++ b/packages/cli/src/common/fleetFormat.ts
@@ -23,7 +23,7 @@
  * @returns a summary line and a table with one row for each entry VM
  */
 export function formatLookup (answer: LookupAnswer): string {
-  const first = `${answer.service} from region ${answer.region}, configuration version ${answer.configurationVersion}, may be cached for ${answer.cacheForMs} ms`
+  const summary = `${answer.service} from region ${answer.region}, configuration version ${answer.configurationVersion}, may be cached for ${answer.cacheForMs} ms`
   const rows = answer.entries.map((entry) => [entry.nodeId, entry.address, entry.weight.toFixed(3)])
-  return `${first}\n${formatTable([{ title: 'NODE' }, { title: 'ADDRESS' }, { title: 'WEIGHT', align: Align.Right }], rows)}`
+  return `${summary}\n${formatTable([{ title: 'NODE' }, { title: 'ADDRESS' }, { title: 'WEIGHT', align: Align.Right }], rows)}`
 }
--- a/packages/cli/src/common/patchSettlement.ts
+++ b/packages/cli/src/common/patchSettlement.ts
@@ -5,7 +5,7 @@
 /** What is known about the effect of a change. */
 export enum PatchOutcome {
   Applied = 'applied',
-  /** Another change took the version number that this change could have had. */
+  /** Another change became the next version instead, so this change can never take effect. */
   NotApplied = 'not-applied',
   /** No newer version exists yet, or the daemon that answered does not know of it yet. */
   Undecided = 'undecided'
--- a/packages/cli/src/node/clientTls.ts
+++ b/packages/cli/src/node/clientTls.ts
@@ -27,8 +27,8 @@
  */
 export function readTlsOptions (args: Arguments, environment: Readonly<Record<string, string | undefined>>): TlsOptions {
   const findPath = (name: keyof TlsOptions): string | undefined => {
-    const text = typeof args[name] === 'string' ? args[name] : environment[ENVIRONMENT_VARIABLES[name]]
-    return text === '' ? undefined : text
+    const path = typeof args[name] === 'string' ? args[name] : environment[ENVIRONMENT_VARIABLES[name]]
+    return path === '' ? undefined : path
   }
   const options = { ca: findPath('ca'), cert: findPath('cert'), key: findPath('key') }
   if ((options.cert === undefined) !== (options.key === undefined)) throw new UsageError('--cert and --key: expected both or neither of them')
--- a/packages/cli/src/node/fleetQuery.ts
+++ b/packages/cli/src/node/fleetQuery.ts
@@ -21,12 +21,12 @@
 ): Promise<ReadonlyArray<NodeAnswer<T>>> {
   const answers = new Array<NodeAnswer<T>>(nodes.length)
   const remaining = nodes.entries()
-  const runWorker = async (): Promise<void> => {
+  const runLoop = async (): Promise<void> => {
     // The concurrent loops share one iterator, so each node is asked exactly once.
     for (const [index, node] of remaining) {
       answers[index] = { node, answer: await ask(node) }
     }
   }
-  await Promise.all(Array.from({ length: Math.min(MAX_REQUESTS_IN_FLIGHT, nodes.length) }, runWorker))
+  await Promise.all(Array.from({ length: Math.min(MAX_REQUESTS_IN_FLIGHT, nodes.length) }, runLoop))
   return answers
 }
--- a/packages/cli/src/node/httpTransport.ts
+++ b/packages/cli/src/node/httpTransport.ts
@@ -79,8 +79,8 @@
 }
 
 function classifyStatus (kind: CallKind, status: number, problem: OperatorProblem | undefined): ErrorCode {
-  const known = CODE_BY_STATUS.get(status)
-  if (known !== undefined) return known
+  const mappedCode = CODE_BY_STATUS.get(status)
+  if (mappedCode !== undefined) return mappedCode
   if (status < FIRST_SERVER_ERROR_STATUS) return ErrorCode.Refused
   // A 5xx status alone does not rule out that a write took effect; only an explicit `not-run` does.
   return problem?.outcome === 'not-run' ? ErrorCode.Unavailable : LOST_RESPONSE_CODES[kind]
--- a/packages/cli/src/node/patchSubmitter.ts
+++ b/packages/cli/src/node/patchSubmitter.ts
@@ -62,10 +62,10 @@
     }
     if (answer.val.code !== ErrorCode.EffectUnknown) return Err(answer.val)
     this.io.terminal.printError(`umberspar: the answer to change ${request.changeId} was lost (peer ${answer.val.peer}: ${answer.val.message}); checking whether it took effect`)
-    return await this.settle(request, answer.val)
+    return await this.waitForOutcome(request, answer.val)
   }
 
-  private async settle (request: PatchRequest, lostAnswer: OperatorError): Promise<Result<AppliedPatch, OperatorError>> {
+  private async waitForOutcome (request: PatchRequest, lostAnswer: OperatorError): Promise<Result<AppliedPatch, OperatorError>> {
     while (!hasPassed(this.client.deadline, this.io.clock.now())) {
       const resolved = await this.readOutcome(request)
       if (resolved?.outcome === PatchOutcome.Applied) {
--- a/packages/cli/test/node/fleet.test.ts
+++ b/packages/cli/test/node/fleet.test.ts
@@ -63,7 +63,7 @@
     })
     const line = ['drain', 'failure-domain', 'klang-a', '--wait', '--daemon', first.address, '--json']
     const blockedReport = await runCommandLine(line, {}, clock)
-    assert.equal(blockedReport.exitCode, ExitCode.NotYet)
+    assert.equal(blockedReport.exitCode, ExitCode.DeadlinePassed)
     assert.match((JSON.parse(blockedReport.errors) as { error: { message: string } }).error.message, /no answer from n2/)
     const allowedReport = await runCommandLine([...line, '--allow-unreachable'])
     assert.equal(allowedReport.exitCode, ExitCode.Ok)
