--- a/packages/cli/src/common/drainPrediction.ts
+++ b/packages/cli/src/common/drainPrediction.ts
@@ -7,7 +7,7 @@
 export interface DrainPrediction {
   /** Whether the remaining capacity is enough for the current demand. */
   readonly fits: boolean
-  /** Messages that say why the capacity is not enough. */
+  /** Messages that say for which services the capacity is not enough. */
   readonly reasons: readonly string[]
   readonly steps: readonly PredictedStep[]
   readonly places: readonly PredictedPlace[]
@@ -67,7 +67,7 @@
  * @returns lines for operators: summary, reasons, steps and load by service and failure domain
  */
 export function formatPrediction (prediction: DrainPrediction): string {
-  const summary = prediction.fits ? `the remaining capacity is enough; the drain takes about ${prediction.totalMs} ms, or longer if requests in flight do` : 'the remaining capacity is not enough for the current demand:'
+  const summary = prediction.fits ? `the remaining capacity is enough; the drain takes about ${prediction.totalMs} ms; requests that run longer add to it` : 'the remaining capacity is not enough for the current demand:'
   const steps = prediction.steps.length === 0 ? 'no traffic would move' : formatSteps(prediction)
   return [summary, ...prediction.reasons.map((reason) => `  ${reason}`), steps, formatPlaces(prediction)].join('\n')
 }
