--- a/packages/cli/src/common/drainPrediction.ts
+++ b/packages/cli/src/common/drainPrediction.ts
@@ -1,36 +1,37 @@
-/** What a daemon predicts of a drain, and how it is shown. */
+/** Decodes and formats a daemon's prediction of the effect of a drain. */
 import type { PredictedPlace, PredictedStep } from '@umberspar/steering/common/plan/predictDrain'
 import { isJsonObject } from './jsonValue.js'
 import { Align, formatTable } from './tableFormat.js'
 
-/** A daemon's prediction as the client shows it: of each reason only its sentence. */
+/** A daemon's prediction, reduced to what the client shows: of each reason it keeps only the message. */
 export interface DrainPrediction {
+  /** Whether the remaining capacity is enough for the current demand. */
   readonly fits: boolean
-  /** Sentences that say why it does not fit. */
+  /** Messages that say for which services the capacity is not enough. */
   readonly reasons: readonly string[]
   readonly steps: readonly PredictedStep[]
   readonly places: readonly PredictedPlace[]
   readonly totalMs: number
 }
 
-const PERCENT = 100
+const PERCENT_PER_UNIT = 100
 
-function toRows (value: unknown): Array<Record<string, unknown>> {
+function toObjects (value: unknown): Array<Record<string, unknown>> {
   return Array.isArray(value) ? value.filter((row): row is Record<string, unknown> => isJsonObject(row)) : []
 }
 
 /**
  * @param value a daemon's answer
- * @returns the prediction, or undefined if it is none
+ * @returns the prediction, or undefined if the answer is not one
  */
 export function decodePrediction (value: unknown): DrainPrediction | undefined {
   if (!isJsonObject(value) || typeof value.fits !== 'boolean' || typeof value.totalMs !== 'number') return undefined
   return {
     fits: value.fits,
     totalMs: value.totalMs,
-    reasons: toRows(value.reasons).map(({ message }) => String(message)),
-    steps: toRows(value.steps).map(({ service, afterMs, shift }) => ({ service: String(service), afterMs: Number(afterMs), shift: Number(shift) })),
-    places: toRows(value.places).map((row) => ({
+    reasons: toObjects(value.reasons).map(({ message }) => String(message)),
+    steps: toObjects(value.steps).map(({ service, afterMs, shift }) => ({ service: String(service), afterMs: Number(afterMs), shift: Number(shift) })),
+    places: toObjects(value.places).map((row) => ({
       service: String(row.service),
       failureDomain: String(row.failureDomain),
       capacity: Number(row.capacity),
@@ -41,13 +42,13 @@
   }
 }
 
-function formatPart (part: number): string {
-  return `${(part * PERCENT).toFixed(0)} %`
+function formatPercent (ratio: number): string {
+  return `${(ratio * PERCENT_PER_UNIT).toFixed(0)} %`
 }
 
 function formatSteps (prediction: DrainPrediction): string {
   const columns = [{ title: 'AFTER', align: Align.Right }, { title: 'SERVICE' }, { title: 'MOVES', align: Align.Right }]
-  return formatTable(columns, prediction.steps.map(({ afterMs, service, shift }) => [`${afterMs} ms`, service, formatPart(shift)]))
+  return formatTable(columns, prediction.steps.map(({ afterMs, service, shift }) => [`${afterMs} ms`, service, formatPercent(shift)]))
 }
 
 function formatPlaces (prediction: DrainPrediction): string {
@@ -57,16 +58,16 @@
   ]
   return formatTable(columns, prediction.places.map((place) => [
     place.service, place.failureDomain, String(place.capacity), place.loadBefore.toFixed(1), place.loadAfter.toFixed(1),
-    place.capacity === 0 ? 'drained' : formatPart(place.headroom)
+    place.capacity === 0 ? 'drained' : formatPercent(place.headroom)
   ]))
 }
 
 /**
- * @param prediction what a daemon said
- * @returns text for operators
+ * @param prediction a daemon's prediction
+ * @returns lines for operators: summary, reasons, steps and load by service and failure domain
  */
 export function formatPrediction (prediction: DrainPrediction): string {
-  const verdict = prediction.fits ? `it fits; about ${prediction.totalMs} ms, plus requests that run longer` : 'it does not fit the present demand:'
+  const summary = prediction.fits ? `the remaining capacity is enough; the drain takes about ${prediction.totalMs} ms; requests that run longer add to it` : 'the remaining capacity is not enough for the current demand:'
   const steps = prediction.steps.length === 0 ? 'no traffic would move' : formatSteps(prediction)
-  return [verdict, ...prediction.reasons.map((reason) => `  ${reason}`), steps, formatPlaces(prediction)].join('\n')
+  return [summary, ...prediction.reasons.map((reason) => `  ${reason}`), steps, formatPlaces(prediction)].join('\n')
 }
--- a/packages/cli/src/node/drainSubmitter.ts
+++ b/packages/cli/src/node/drainSubmitter.ts
@@ -1,4 +1,4 @@
-/** Changes `drains` against the present version, again if another change came first. */
+/** Patches the configuration's `drains` against its current version, and retries if another change was accepted first. */
 import { hasPassed } from '@umberspar/base/common/deadline'
 import { ErrorCode } from '@umberspar/base/common/errors'
 import { Ok } from '@umberspar/base/common/result'
@@ -8,49 +8,51 @@
 import type { DrainDirection, DrainTarget } from '../common/drainTarget.js'
 import type { JsonObject } from '../common/jsonValue.js'
 import type { OperatorError } from '../common/operatorError.js'
-import type { ConfigurationAnswer, ValidationAnswer } from '../common/operatorMessages.js'
+import type { ConfigurationResponse, ValidationResult } from '../common/operatorMessages.js'
 import type { CliIo } from './cliIo.js'
 import type { OperatorClient } from './operatorClient.js'
 import { PatchSubmitter, waitFor } from './patchSubmitter.js'
 
 /** What to drain or undrain. */
-export interface DrainOrder {
+export interface DrainRequest {
   readonly target: DrainTarget
   readonly direction: DrainDirection
   readonly note: string
 }
 
-/** What became of it. */
-export interface SubmittedDrain {
+/** The result of draining or undraining. */
+export interface DrainResult {
+  /** The version that contains the drain, or no longer contains it. */
   readonly version: number
-  /** False: the configuration already said so. */
+  /** False if the target was already drained or undrained as wanted. */
   readonly isChanged: boolean
   readonly changeId?: string
+  /** Whether the answer was lost, and the effect was determined by later reads. */
   readonly isSettledLater?: boolean
 }
 
-/** What a daemon says beforehand. */
+/** The result of a dry run. */
 export interface CheckedDrain {
   readonly baseVersion: number
   readonly isChanged: boolean
   readonly patch?: JsonObject
   readonly isValid: boolean
-  readonly problems: ValidationAnswer['problems']
-  /** Steps, headroom and time; undefined if the patch is not valid by itself or the daemon can't tell. */
+  readonly problems: ValidationResult['problems']
+  /** Undefined if the patch is invalid, or the daemon can't predict its effect. */
   readonly prediction?: DrainPrediction
 }
 
-/** Attempts against fresh versions before the conflict is reported. */
+/** Attempts, each against the then current version, before the conflict is reported. */
 const MAX_ATTEMPTS = 5
 
 /**
- * Reads until the daemon shows a version; after a conflict the daemon that
- * answers may not have adopted the winner's version yet, and a patch against
- * its old one would only be refused again.
+ * Reads the configuration until it has at least a given version. After a conflict, the
+ * daemon that answers may not have adopted the version of the conflicting change yet, and
+ * a patch against the older version would be refused again.
  */
-async function readAtLeast (client: OperatorClient, io: CliIo, version: number): Promise<Result<ConfigurationAnswer, OperatorError>> {
+async function readConfigurationAtLeast (client: OperatorClient, io: CliIo, minVersion: number): Promise<Result<ConfigurationResponse, OperatorError>> {
   let answer = await client.readConfiguration()
-  while (answer.ok && answer.val.head.version < version && !hasPassed(client.deadline, io.clock.now())) {
+  while (answer.ok && answer.val.head.version < minVersion && !hasPassed(client.deadline, io.clock.now())) {
     await waitFor(io.clock, io.pollSpanMs)
     answer = await client.readConfiguration()
   }
@@ -58,44 +60,45 @@
 }
 
 /**
- * Adds or removes one element. The attempt is repeated after a conflict, since
- * adding an element commutes with every other change; each attempt is a new
- * change only after the one before was certainly refused.
- * @param client the daemons
- * @param io the surroundings
- * @param order what to drain or undrain
- * @returns the version that holds it
+ * Adds a target to `drains` or removes it. Retries after a conflict, since adding or removing
+ * an element commutes with every other change. Each retry is sent as a new change, which is
+ * safe because a conflict means that the previous one was refused.
+ * @param client the client of the daemons
+ * @param io the environment of the run
+ * @param drainRequest what to drain or undrain
+ * @returns the version that contains the result; `Conflict` after too many attempts
  */
-export async function applyDrain (client: OperatorClient, io: CliIo, order: DrainOrder): Promise<Result<SubmittedDrain, OperatorError>> {
+export async function applyDrain (client: OperatorClient, io: CliIo, drainRequest: DrainRequest): Promise<Result<DrainResult, OperatorError>> {
   const submitter = new PatchSubmitter(client, io)
-  let atLeast = 0
+  let minVersion = 0
   for (let attempt = 1; ; attempt++) {
-    const present = await readAtLeast(client, io, atLeast)
-    if (!present.ok) return present
-    const { head, body } = present.val
-    const patch = buildDrainPatch(body, order.target, order.direction)
+    const current = await readConfigurationAtLeast(client, io, minVersion)
+    if (!current.ok) return current
+    const { head, body } = current.val
+    const patch = buildDrainPatch(body, drainRequest.target, drainRequest.direction)
     if (patch === undefined) return Ok({ version: head.version, isChanged: false })
-    const applied = await submitter.send({ baseVersion: head.version, patch, note: order.note })
+    const applied = await submitter.send({ baseVersion: head.version, patch, note: drainRequest.note })
     if (applied.ok) return Ok({ isChanged: true, ...applied.val })
     if (applied.val.code !== ErrorCode.Conflict || attempt === MAX_ATTEMPTS) return applied
-    atLeast = applied.val.problem?.currentVersion ?? head.version + 1
+    minVersion = applied.val.problem?.currentVersion ?? head.version + 1
   }
 }
 
 /**
- * @param client the daemons
- * @param order what to drain or undrain
- * @returns the patch and a daemon's opinion of it; nothing is changed
+ * Validates the patch at a daemon and predicts its effect, without changing anything.
+ * @param client the client of the daemons
+ * @param drainRequest what to drain or undrain
+ * @returns the patch, whether it is valid, and its predicted effect
  */
-export async function checkDrain (client: OperatorClient, order: DrainOrder): Promise<Result<CheckedDrain, OperatorError>> {
-  const present = await client.readConfiguration()
-  if (!present.ok) return present
-  const { head, body } = present.val
-  const patch = buildDrainPatch(body, order.target, order.direction)
+export async function checkDrain (client: OperatorClient, drainRequest: DrainRequest): Promise<Result<CheckedDrain, OperatorError>> {
+  const current = await client.readConfiguration()
+  if (!current.ok) return current
+  const { head, body } = current.val
+  const patch = buildDrainPatch(body, drainRequest.target, drainRequest.direction)
   if (patch === undefined) return Ok({ baseVersion: head.version, isChanged: false, isValid: true, problems: [] })
-  const opinion = await client.validatePatch({ baseVersion: head.version, patch })
-  if (!opinion.ok) return opinion
+  const validation = await client.validatePatch({ baseVersion: head.version, patch })
+  if (!validation.ok) return validation
   const predicted = await client.predictDrain({ baseVersion: head.version, patch })
   const prediction = predicted.ok ? predicted.val : undefined
-  return Ok({ baseVersion: head.version, isChanged: true, patch, isValid: opinion.val.valid, problems: opinion.val.problems, prediction })
+  return Ok({ baseVersion: head.version, isChanged: true, patch, isValid: validation.val.valid, problems: validation.val.problems, prediction })
 }
