--- a/packages/daemon/src/node/plan/demandMeter.ts
+++ b/packages/daemon/src/node/plan/demandMeter.ts
@@ -1,52 +1,52 @@
-/** Measures what this node carries: a moving mean of requests at a time, by service and client region. */
+/** Measures this node's demand: a moving mean of concurrent requests by service and client region. */
 import type { IClock, Instant } from '@umberspar/base/common/clock'
 import type { DemandReport } from '@umberspar/steering/common/membership/memberFacts'
 
-/** Time constant of the mean: long against one request, short against the settle time of steps. */
-const MEAN_SPAN_MS = 1000
-/** A mean below this is reported as nothing. */
-const LEAST_DEMAND = 0.001
+/** Time constant of the mean: long compared with one request, short compared with the settle time of steps. */
+const MEAN_TIME_CONSTANT_MS = 1000
+/** Lower means are not reported, except for this node's own region. */
+const MIN_REPORTED_DEMAND = 0.001
 
-interface Flow {
+interface DemandFlow {
   readonly service: string
   readonly clientRegion: string
-  open: number
+  openRequests: number
   mean: number
   updatedAt: Instant
 }
 
-/** Counts open requests and keeps their mean. */
+/** Counts open requests and computes their moving mean. */
 export class DemandMeter {
-  private readonly flows = new Map<string, Flow>()
+  private readonly flows = new Map<string, DemandFlow>()
 
   /**
-   * @param ownRegion reported for every service even without requests, so that silence is told apart from no demand
-   * @param clock the time
+   * @param ownRegion always reported for every service, so that peers can tell zero demand from a missing report
+   * @param clock the clock that measurements are taken with
    */
   constructor (private readonly ownRegion: string, private readonly clock: IClock) {}
 
   /**
-   * Notes that a request began.
-   * @param service its service
-   * @param clientRegion where its caller is
-   * @returns called once when it has ended
+   * Counts a request from now on.
+   * @param service the request's service
+   * @param clientRegion the caller's region
+   * @returns a function to call when the request has ended; further calls do nothing
    */
   start (service: string, clientRegion: string): () => void {
     const flow = this.getOrCreate(service, clientRegion)
-    this.update(flow)
-    flow.open++
+    this.updateMean(flow)
+    flow.openRequests++
     let isOpen = true
     return () => {
       if (!isOpen) return
       isOpen = false
-      this.update(flow)
-      flow.open--
+      this.updateMean(flow)
+      flow.openRequests--
     }
   }
 
   /**
-   * @param services services of the configuration
-   * @returns the present means, measured now
+   * @param services the configured services
+   * @returns the current means
    */
   list (services: readonly string[]): DemandReport[] {
     const measuredAt = this.clock.now()
@@ -54,25 +54,25 @@
     const reports: DemandReport[] = []
     for (const flow of this.flows.values()) {
       if (!services.includes(flow.service)) continue
-      this.update(flow)
-      if (flow.mean < LEAST_DEMAND && flow.clientRegion !== this.ownRegion) continue
+      this.updateMean(flow)
+      if (flow.mean < MIN_REPORTED_DEMAND && flow.clientRegion !== this.ownRegion) continue
       reports.push({ service: flow.service, clientRegion: flow.clientRegion, concurrency: flow.mean, measuredAt })
     }
     return reports
   }
 
-  private getOrCreate (service: string, clientRegion: string): Flow {
+  private getOrCreate (service: string, clientRegion: string): DemandFlow {
     const key = `${service}/${clientRegion}`
-    const known = this.flows.get(key)
-    if (known !== undefined) return known
-    const flow: Flow = { service, clientRegion, open: 0, mean: 0, updatedAt: this.clock.now() }
+    const existing = this.flows.get(key)
+    if (existing !== undefined) return existing
+    const flow: DemandFlow = { service, clientRegion, openRequests: 0, mean: 0, updatedAt: this.clock.now() }
     this.flows.set(key, flow)
     return flow
   }
 
-  private update (flow: Flow): void {
+  private updateMean (flow: DemandFlow): void {
     const now = this.clock.now()
-    flow.mean += (flow.open - flow.mean) * (1 - Math.exp((flow.updatedAt - now) / MEAN_SPAN_MS))
+    flow.mean += (flow.openRequests - flow.mean) * (1 - Math.exp((flow.updatedAt - now) / MEAN_TIME_CONSTANT_MS))
     flow.updatedAt = now
   }
 }
--- a/packages/daemon/src/node/plan/drainPlanner.ts
+++ b/packages/daemon/src/node/plan/drainPlanner.ts
@@ -1,52 +1,52 @@
-/** Predicts drains with what this node knows, and refuses those that do not fit. */
+/** Predicts the effect of drains from this node's measurements, and rejects drains for which capacity is missing. */
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import type { ConfigurationProblem } from '@umberspar/steering/common/configuration/configurationProblem'
 import { type DrainPrediction, type DrainPredictionInput, findMisfits, predictDrain } from '@umberspar/steering/common/plan/predictDrain'
 import { listForbidden } from '@umberspar/steering/common/plan/serviceStep'
 import type { PlanKeeper } from '../places/planKeeper.js'
-import type { MeasurementBoard } from './measurementBoard.js'
+import type { MeasurementCollector } from './measurementCollector.js'
 
-/** Answers what a change of drains would do. */
+/** Predicts and checks changes of drains. */
 export class DrainPlanner {
   constructor (
     private readonly plans: PlanKeeper,
-    private readonly board: MeasurementBoard
+    private readonly collector: MeasurementCollector
   ) {}
 
   /**
-   * @param configuration a checked configuration with the drains that are asked about
-   * @returns steps, headroom and time under the demand measured now
+   * @param configuration a validated configuration with the drains to predict
+   * @returns steps, headroom and duration under the currently measured demand
    */
   predict (configuration: SteeringConfiguration): DrainPrediction {
     return predictDrain(this.buildInput(configuration))
   }
 
   /**
-   * Two drains that each fit may not fit together: callers would be refused
-   * once the second has moved its traffic. A change that only takes drains back
-   * is never refused.
+   * Checks that the remaining capacity suffices. Two drains that are each possible
+   * may not be possible together: callers would be refused once the second has
+   * moved its traffic. A change that only cancels drains is always accepted.
    * @param current the configuration in force, if any
-   * @param next the configuration that a patch would make
-   * @returns why its drains do not fit; empty if they do
+   * @param next the configuration that would result from a patch
+   * @returns the services whose demand would exceed the remaining capacity; empty if there are none
    */
   check (current: SteeringConfiguration | undefined, next: SteeringConfiguration): ConfigurationProblem[] {
     if (current === undefined || !hasMoreDrains(current, next)) return []
     return findMisfits(this.buildInput(next)).map(({ message, service }) => ({
       path: 'drains',
-      expected: `room for the present demand of service '${service}'`,
+      expected: `enough capacity for the current demand of service '${service}'`,
       message
     }))
   }
 
   private buildInput (configuration: SteeringConfiguration): DrainPredictionInput {
-    this.board.update()
+    this.collector.update()
     const services = Object.keys(configuration.services)
-    const mapServices = <T>(read: (service: string) => T): Record<string, T> => Object.fromEntries(services.map((service) => [service, read(service)]))
+    const buildByService = <T>(read: (service: string) => T): Record<string, T> => Object.fromEntries(services.map((service) => [service, read(service)]))
     return {
       configuration,
-      weights: mapServices((service) => this.plans.findAgreed(service)?.weights ?? this.plans.find(service)?.inForce ?? {}),
-      demand: mapServices((service) => this.board.getDemand(service)),
-      failed: mapServices((service) => this.board.listFailed(service))
+      weights: buildByService((service) => this.plans.findAgreed(service)?.weights ?? this.plans.find(service)?.inForce ?? {}),
+      demand: buildByService((service) => this.collector.getDemand(service)),
+      failed: buildByService((service) => this.collector.listFailed(service))
     }
   }
 }
--- a/packages/daemon/src/node/plan/measurementBoard.ts
+++ b/packages/daemon/src/node/plan/measurementCollector.ts
@@ -1,4 +1,4 @@
-/** What this node knows of demand, places and members: from its own meters and peers' heartbeats. */
+/** Collects this node's view of demand, places and members from its own meters and from peers' heartbeats. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { Emitter } from '@umberspar/base/common/event'
@@ -19,14 +19,14 @@
 import type { DemandMeter } from './demandMeter.js'
 import { PlaceObserver } from './placeObserver.js'
 
-/** The state and its updates. */
-export class MeasurementBoard implements IDigestObserver, IClosable {
+/** Holds the measurements of all nodes and updates them. */
+export class MeasurementCollector implements IDigestObserver, IClosable {
   private readonly observer = new PlaceObserver()
-  private readonly didHear = new Emitter<void>()
+  private readonly didReceive = new Emitter<void>()
   private configuration: SteeringConfiguration | undefined
   private state: MeasurementState = NO_MEASUREMENTS
   private failures: ReadonlyMap<string, Deadline> = new Map()
-  private seenPlaces: readonly PlaceObservation[] = []
+  private observedPlaces: readonly PlaceObservation[] = []
 
   constructor (
     private readonly selfId: string,
@@ -37,8 +37,8 @@
     private readonly listInForce: () => readonly DocumentVersion[]
   ) {}
 
-  /** Fires after a peer's measurements were taken in. */
-  readonly onDidHear = this.didHear.event
+  /** Fires after a peer's measurements were recorded. */
+  readonly onDidReceive = this.didReceive.event
 
   /** @returns all measurements, as of the last update */
   get measurements (): MeasurementState {
@@ -52,17 +52,17 @@
 
   /** @returns all places as last observed */
   get places (): readonly PlaceObservation[] {
-    return this.seenPlaces
+    return this.observedPlaces
   }
 
   close (): void {
-    this.didHear.close()
+    this.didReceive.close()
   }
 
   /** @param configuration the configuration in force */
   setConfiguration (configuration: SteeringConfiguration): void {
     this.configuration = configuration
-    this.observer.update(configuration)
+    this.observer.removeUnknownWorkers(configuration)
   }
 
   listDemand (): DemandReport[] {
@@ -71,15 +71,15 @@
 
   observe (digest: Digest): void {
     this.observer.observe(digest.workers)
-    // A node speaks to few others; what these heard of the rest counts as well, with its age.
+    // A node exchanges heartbeats with few peers, so their relayed measurements of other nodes count as well, with their age.
     for (const { nodeId, demand, documents } of [digest, ...digest.members]) {
       const measurement = buildMeasurement(nodeId, demand, documents)
       if (measurement !== undefined && nodeId !== this.selfId) this.state = addMeasurement(this.state, measurement)
     }
-    this.didHear.fire()
+    this.didReceive.fire()
   }
 
-  /** Takes this node's own measurement, the members and the places of now. */
+  /** Refreshes this node's own measurement, the members and the states of all places. */
   update (): void {
     const { configuration } = this
     if (configuration === undefined) return
@@ -88,13 +88,13 @@
     this.state = setMembers(this.state, this.listMembers())
     const own = buildMeasurement(this.selfId, this.listDemand(), this.listInForce())
     if (own !== undefined) this.state = addMeasurement(this.state, own)
-    this.seenPlaces = this.observer.list(configuration, now)
-    this.failures = updateFailures(this.failures, this.seenPlaces, now)
+    this.observedPlaces = this.observer.listPlaces(configuration, now)
+    this.failures = updateFailures(this.failures, this.observedPlaces, now)
   }
 
   /**
    * @param service a service's name
-   * @returns requests at a time by client region, of all nodes
+   * @returns concurrent requests by client region, summed over all nodes
    */
   getDemand (service: string): Demand {
     return computeDemand(this.state, service)
@@ -102,7 +102,7 @@
 
   /**
    * @param service a service's name
-   * @returns failure domains where it has failed
+   * @returns failure domains where the service has failed
    */
   listFailed (service: string): Set<string> {
     return listFailed(this.failures, service, this.clock.now())
@@ -114,13 +114,13 @@
    */
   getUtilization (service: string): Record<string, number> {
     const prefix = getPlaceKey(service, '')
-    return Object.fromEntries(this.seenPlaces.flatMap((place) => {
-      const isWanted = getPlaceKey(place.service, '') === prefix && place.utilization !== undefined
-      return isWanted ? [[place.failureDomain, place.utilization]] : []
+    return Object.fromEntries(this.observedPlaces.flatMap((place) => {
+      const hasUtilization = getPlaceKey(place.service, '') === prefix && place.utilization !== undefined
+      return hasUtilization ? [[place.failureDomain, place.utilization]] : []
     })) as Record<string, number>
   }
 
-  /** @returns entry VMs of the list that do not leave */
+  /** @returns entry VMs of the membership list that aren't leaving */
   listMembers (): PlanMember[] {
     return this.members.list().flatMap((member) => {
       const isSelf = member.vm.vmId === this.selfId
@@ -132,12 +132,12 @@
 
 function buildMeasurement (nodeId: string, demand: readonly DemandReport[], documents: readonly DocumentVersion[]): NodeMeasurement | undefined {
   if (demand.length === 0) return undefined
-  const byService: Record<string, Record<string, number>> = {}
-  for (const { service, clientRegion, concurrency } of demand) (byService[service] ??= {})[clientRegion] = concurrency
-  const inForce: Record<string, number> = {}
+  const demandByService: Record<string, Record<string, number>> = {}
+  for (const { service, clientRegion, concurrency } of demand) (demandByService[service] ??= {})[clientRegion] = concurrency
+  const versionsInForce: Record<string, number> = {}
   for (const { name, version } of documents) {
     const service = parseInForceName(name)
-    if (service !== undefined) inForce[service] = version
+    if (service !== undefined) versionsInForce[service] = version
   }
-  return { nodeId, measuredAt: Math.min(...demand.map((report) => report.measuredAt)), inForce, demand: byService }
+  return { nodeId, measuredAt: Math.min(...demand.map((report) => report.measuredAt)), inForce: versionsInForce, demand: demandByService }
 }
--- a/packages/daemon/src/node/plan/placeObserver.ts
+++ b/packages/daemon/src/node/plan/placeObserver.ts
@@ -1,49 +1,50 @@
-/** Finds failed and overloaded places from what probes found, this node's and its peers'. */
+/** Detects failed places, and computes the utilization of places, from probe results of this node and its peers. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import type { PlaceObservation } from '@umberspar/steering/common/plan/plannerState'
 import type { WorkerReport } from '@umberspar/steering/common/ports/peers'
 
 /**
- * A place has failed once every worker was out for so long and in two probes: one
- * lost probe with a late one after it is a busy machine, and each move away from
- * such a place makes the next drain wait for the way back.
+ * A place counts as failed once all its workers have been unavailable for this
+ * long and in two probes. One lost probe followed by a late one only means a busy
+ * machine, and moving traffic away for that would delay the next drain until the
+ * traffic has moved back.
  */
-const FAILED_SPAN_MS = 1500
-/** One probe told by two peers looks apart by what the messages took. */
-const LEAST_PROBE_GAP_MS = 400
-/** Reports older than this say nothing. */
-const REPORT_SPAN_MS = 5000
+const MIN_FAILED_MS = 1500
+/** Reports of the same probe from two peers differ by their message delays and must not count as two probes. */
+const MIN_PROBE_GAP_MS = 400
+/** Older reports are ignored. */
+const MAX_REPORT_AGE_MS = 5000
 
-interface WorkerNews {
+interface WorkerStatus {
   readonly report: WorkerReport
-  /** Since when it has taken no work; undefined if it takes some. */
-  readonly outSince: Instant | undefined
+  /** When the worker stopped accepting work; undefined if it accepts work. */
+  readonly unavailableSince: Instant | undefined
 }
 
 /** Keeps the newest report of each worker. */
 export class PlaceObserver {
-  private readonly news = new Map<string, WorkerNews>()
+  private readonly statuses = new Map<string, WorkerStatus>()
 
   /**
-   * @param reports reports whose worker ids are addresses
+   * @param reports worker reports, with addresses as worker ids
    */
   observe (reports: readonly WorkerReport[]): void {
     for (const report of reports) {
-      const known = this.news.get(report.workerId)
-      if (known !== undefined && known.report.measuredAt >= report.measuredAt) continue
-      const isOut = !report.isHealthy || report.isDraining
-      const outSince = isOut ? known?.outSince ?? report.measuredAt : undefined
-      this.news.set(report.workerId, { report, outSince })
+      const previous = this.statuses.get(report.workerId)
+      if (previous !== undefined && previous.report.measuredAt >= report.measuredAt) continue
+      const isUnavailable = !report.isHealthy || report.isDraining
+      const unavailableSince = isUnavailable ? previous?.unavailableSince ?? report.measuredAt : undefined
+      this.statuses.set(report.workerId, { report, unavailableSince })
     }
   }
 
   /**
-   * @param configuration places and workers
-   * @param now the present
-   * @returns every place as it is now
+   * @param configuration places and their workers
+   * @param now the current time
+   * @returns the current state of every place
    */
-  list (configuration: SteeringConfiguration, now: Instant): PlaceObservation[] {
+  listPlaces (configuration: SteeringConfiguration, now: Instant): PlaceObservation[] {
     return Object.entries(configuration.services).flatMap(([service, { places }]) =>
       Object.entries(places).map(([failureDomain, { workers }]) => {
         const addresses = Object.values(workers).map(({ address }) => address)
@@ -51,26 +52,26 @@
       }))
   }
 
-  /** @param configuration whose workers are kept; all others are forgotten */
-  update (configuration: SteeringConfiguration): void {
+  /** @param configuration the configuration whose workers are kept; the reports of all others are removed */
+  removeUnknownWorkers (configuration: SteeringConfiguration): void {
     const known = new Set(Object.values(configuration.services).flatMap(({ places }) =>
       Object.values(places).flatMap(({ workers }) => Object.values(workers).map(({ address }) => address))))
-    for (const address of this.news.keys()) {
-      if (!known.has(address)) this.news.delete(address)
+    for (const address of this.statuses.keys()) {
+      if (!known.has(address)) this.statuses.delete(address)
     }
   }
 
   private hasFailed (addresses: readonly string[], now: Instant): boolean {
     if (addresses.length === 0) return false
     return addresses.every((address) => {
-      const news = this.news.get(address)
-      if (news?.outSince === undefined || news.report.measuredAt < news.outSince + LEAST_PROBE_GAP_MS) return false
-      return now - news.outSince >= FAILED_SPAN_MS && now - news.report.measuredAt <= REPORT_SPAN_MS
+      const status = this.statuses.get(address)
+      if (status?.unavailableSince === undefined || status.report.measuredAt < status.unavailableSince + MIN_PROBE_GAP_MS) return false
+      return now - status.unavailableSince >= MIN_FAILED_MS && now - status.report.measuredAt <= MAX_REPORT_AGE_MS
     })
   }
 
   private computeUtilization (addresses: readonly string[], now: Instant): number | undefined {
-    const fresh = addresses.flatMap((address) => this.news.get(address)?.report ?? []).filter((report) => now - report.measuredAt <= REPORT_SPAN_MS)
+    const fresh = addresses.flatMap((address) => this.statuses.get(address)?.report ?? []).filter((report) => now - report.measuredAt <= MAX_REPORT_AGE_MS)
     if (fresh.length === 0) return undefined
     return fresh.reduce((sum, report) => sum + report.utilization, 0) / fresh.length
   }
--- a/packages/daemon/src/node/plan/planDocuments.ts
+++ b/packages/daemon/src/node/plan/planDocuments.ts
@@ -1,4 +1,4 @@
-/** Hands agreed plans and weights in force on between daemons. */
+/** Exchanges agreed plans and the weights in force between daemons. */
 import type { IClosable } from '@umberspar/base/common/closing'
 import { Emitter } from '@umberspar/base/common/event'
 import { type ILogger, LogLevel } from '@umberspar/base/common/logger'
@@ -10,16 +10,16 @@
 import type { IDocumentSource } from '../peers/documentRegistry.js'
 import type { PlanKeeper } from '../places/planKeeper.js'
 
-/** A plan has no operator's change behind it. */
-const NO_CHANGE = ''
+/** Plans have no change id: they don't come from an operator's change. */
+const NO_CHANGE_ID = ''
 
-/** The source of `plan/<service>` and `plan-in-force/<service>`. */
+/** Provides and accepts the documents `plan/<service>` and `plan-in-force/<service>`. */
 export class PlanDocuments implements IDocumentSource, IClosable {
-  private readonly didTakePush = new Emitter<PeerDocument>()
-  /** Digests by name, for the version they belong to. */
+  private readonly didReceivePush = new Emitter<PeerDocument>()
+  /** Cached digests by document name, each valid for one version. */
   private readonly digests = new Map<string, { readonly version: number, readonly digest: string }>()
 
-  private originId: string | undefined
+  private newestOriginId: string | undefined
 
   constructor (
     private readonly keeper: PlanKeeper,
@@ -28,69 +28,69 @@
   ) {}
 
   list (): DocumentVersion[] {
-    return [...this.keeper.listAgreed().map((plan) => this.buildVersion(plan.service, plan.version)), ...this.listInForce()]
+    return [...this.keeper.listAgreed().map((plan) => this.buildVersion(plan.service, plan.version)), ...this.listVersionsInForce()]
   }
 
-  /** @returns the agreed versions that this node has reached */
-  listInForce (): DocumentVersion[] {
+  /** @returns for each service, the agreed version that this node has reached; 0 if none */
+  listVersionsInForce (): DocumentVersion[] {
     return this.keeper.listServices().map((service) => ({
-      name: getInForceName(service), version: this.keeper.find(service)?.inForceVersion ?? 0, digest: '', changeId: NO_CHANGE
+      name: getInForceName(service), version: this.keeper.find(service)?.inForceVersion ?? 0, digest: '', changeId: NO_CHANGE_ID
     }))
   }
 
   get (name: string): PeerDocument | undefined {
-    const planned = parsePlanName(name)
-    const inForce = parseInForceName(name)
-    if (planned !== undefined) return this.getPlan(planned)
-    if (inForce !== undefined) return this.getInForce(inForce)
+    const planService = parsePlanName(name)
+    const inForceService = parseInForceName(name)
+    if (planService !== undefined) return this.getPlan(planService)
+    if (inForceService !== undefined) return this.getWeightsInForce(inForceService)
     return undefined
   }
 
   shouldFetch ({ name, version }: DocumentVersion): boolean {
-    const planned = parsePlanName(name)
-    if (planned !== undefined) return version > (this.keeper.findAgreed(planned)?.version ?? 0)
-    const inForce = parseInForceName(name)
-    // Only a node that has not started yet takes over a peer's weights.
-    return inForce !== undefined && version > 0 && this.keeper.find(inForce) === undefined
+    const planService = parsePlanName(name)
+    if (planService !== undefined) return version > (this.keeper.findAgreed(planService)?.version ?? 0)
+    const inForceService = parseInForceName(name)
+    // Only a node that has no weights of its own yet adopts a peer's.
+    return inForceService !== undefined && version > 0 && this.keeper.find(inForceService) === undefined
   }
 
-  shouldPush (ours: DocumentVersion, theirs: DocumentVersion | undefined): boolean {
-    return parsePlanName(ours.name) !== undefined && ours.version > (theirs?.version ?? 0)
+  shouldPush (local: DocumentVersion, remote: DocumentVersion | undefined): boolean {
+    return parsePlanName(local.name) !== undefined && local.version > (remote?.version ?? 0)
   }
 
-  /** @returns the node that began to push the newest plan seen here; it holds the plan, or did lately */
-  get pusherId (): string | undefined {
-    return this.originId
+  /** @returns the node that published the newest plan received by push; it holds the plan's lease, or did until recently */
+  get newestPlanOriginId (): string | undefined {
+    return this.newestOriginId
   }
 
-  /** Fires for a plan that a peer pushed and that is newer than what was known. */
-  readonly onDidTakePush = this.didTakePush.event
+  /** Fires when a peer has pushed a plan that is newer than the known one. */
+  readonly onDidReceivePush = this.didReceivePush.event
 
   close (): void {
-    this.didTakePush.close()
+    this.didReceivePush.close()
   }
 
   apply (received: PeerDocument, source: string): void {
     const { document, body } = received
-    const planned = parsePlanName(document.name)
-    const inForce = parseInForceName(document.name)
+    const planService = parsePlanName(document.name)
+    const inForceService = parseInForceName(document.name)
     const text = new TextDecoder().decode(body)
-    const isNew = planned !== undefined && this.applyPlan(planned, received, text, source)
-    if (isNew && received.route !== undefined) this.didTakePush.fire(received)
-    if (inForce !== undefined) {
+    const isNewPlan = planService !== undefined && this.applyPlan(planService, received, text, source)
+    if (isNewPlan && received.route !== undefined) this.didReceivePush.fire(received)
+    if (inForceService !== undefined) {
       const weights = parseWeights(text)
-      if (weights !== undefined) this.keeper.putHandedOver(inForce, weights)
+      if (weights !== undefined) this.keeper.putHandedOver(inForceService, weights)
     }
   }
 
   private applyPlan (service: string, { document, route }: PeerDocument, text: string, source: string): boolean {
     const plan = this.digester.computeDigest(text) === document.digest ? parsePlan(text) : undefined
     if (plan === undefined || plan.service !== service || plan.version !== document.version) {
-      this.logger.log(LogLevel.Error, { step: 'accept-plan', peer: source, service, version: document.version }, 'plan refused: it is damaged')
+      this.logger.log(LogLevel.Error, { step: 'accept-plan', peer: source, service, version: document.version }, 'rejected a plan whose digest or content is invalid')
       return false
     }
-    // The store's watch is often faster than the push, which then tells the holder alone.
-    if (route !== undefined && plan.version >= (this.keeper.findAgreed(service)?.version ?? 0)) this.originId = route.originId
+    // The store's watch often delivers the plan before the push does; the push then only tells who published it.
+    if (route !== undefined && plan.version >= (this.keeper.findAgreed(service)?.version ?? 0)) this.newestOriginId = route.originId
     return this.keeper.accept(plan)
   }
 
@@ -100,21 +100,21 @@
     return { document: this.buildVersion(service, plan.version), body: new TextEncoder().encode(encodeCanonical(plan)) }
   }
 
-  private getInForce (service: string): PeerDocument | undefined {
+  private getWeightsInForce (service: string): PeerDocument | undefined {
     const state = this.keeper.find(service)
     if (state === undefined) return undefined
     const text = encodeCanonical(state.inForce)
-    const document = { name: getInForceName(service), version: Math.max(1, state.inForceVersion), digest: this.digester.computeDigest(text), changeId: NO_CHANGE }
+    const document = { name: getInForceName(service), version: Math.max(1, state.inForceVersion), digest: this.digester.computeDigest(text), changeId: NO_CHANGE_ID }
     return { document, body: new TextEncoder().encode(text) }
   }
 
   private buildVersion (service: string, version: number): DocumentVersion {
     const name = getPlanName(service)
-    const known = this.digests.get(name)
-    if (known?.version === version) return { name, ...known, changeId: NO_CHANGE }
+    const cached = this.digests.get(name)
+    if (cached?.version === version) return { name, ...cached, changeId: NO_CHANGE_ID }
     const plan = this.keeper.findAgreed(service)
     const digest = this.digester.computeDigest(plan === undefined ? '' : encodeCanonical(plan))
     this.digests.set(name, { version, digest })
-    return { name, version, digest, changeId: NO_CHANGE }
+    return { name, version, digest, changeId: NO_CHANGE_ID }
   }
 }
--- a/packages/daemon/src/node/plan/planHolder.ts
+++ b/packages/daemon/src/node/plan/planHolder.ts
@@ -1,6 +1,6 @@
 /**
- * Advances the plans while this node holds their lease: gets and renews the
- * lease, feeds the planner, and carries its effects to the store.
+ * Advances the plans while this node holds their lease: acquires and renews the
+ * lease, passes events to the planner, and executes the planner's effects.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -15,74 +15,74 @@
 import { findNextSettled, isAwaitingReports } from '@umberspar/steering/common/plan/stepTiming'
 import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
 import type { PlanKeeper } from '../places/planKeeper.js'
-import type { MeasurementBoard } from './measurementBoard.js'
-import type { Holding, PlanStore } from './planStore.js'
+import type { MeasurementCollector } from './measurementCollector.js'
+import type { PlanLease, PlanStore } from './planStore.js'
 
-/** Nodes that ask for the lease; more would only read the store in vain. */
-const CANDIDATES = 3
-const CANDIDATE_SPAN_MS = 1000
-const CANDIDATE_JITTER = 0.3
-const LEASE_SECONDS = 5
-/** Three renewals may fail before the lease lapses. */
-const RENEW_SPAN_MS = 1200
-const CALL_SPAN_MS = 1000
-/** The planner looks at least so often; a settle time that ends and a report that was awaited are looked at when they come. */
-const LOOK_SPAN_MS = 100
-const PLACES_SPAN_MS = 250
+/** Number of nodes that try to acquire the lease; more would only add useless reads of the store. */
+const MAX_CANDIDATES = 3
+const ACQUIRE_INTERVAL_MS = 1000
+const ACQUIRE_JITTER_RATIO = 0.3
+const LEASE_TTL_SECONDS = 5
+/** Three renewals may fail before the lease expires. */
+const RENEW_INTERVAL_MS = 1200
+const STORE_TIMEOUT_MS = 1000
+/** The planner runs at least this often; it also runs when a settle time ends and when an awaited report arrives. */
+const MAX_ROUND_INTERVAL_MS = 100
+const PLACES_INTERVAL_MS = 250
 /** Peers are asked for measurements at most this often. */
-const MEASURE_SPAN_MS = 100
-const STORE_RETRY_SPAN_MS = 500
+const MIN_MEASURE_INTERVAL_MS = 100
+const STORE_RETRY_DELAY_MS = 500
 
-/** What the holder works with. */
+/** Dependencies of the holder. */
 export interface PlanHolderParts {
   readonly nodeId: string
   readonly store: PlanStore
   readonly plans: PlanKeeper
-  readonly board: MeasurementBoard
+  readonly collector: MeasurementCollector
   readonly keeper: ConfigurationKeeper
   readonly clock: IClock
   readonly random: IRandomSource
   readonly logger: ILogger
-  /** Whether this node serves; one that leaves gives the lease up. */
+  /** Whether this node serves requests; a node that is leaving gives up the lease. */
   readonly isLive: () => boolean
-  /** Asks all peers for their measurements. */
+  /** Requests measurements from all peers. */
   readonly measure: () => Promise<void>
-  /** Hands a service's newest plan to all peers. */
+  /** Pushes a service's newest plan to all peers. */
   readonly push: (service: string) => Promise<void>
 }
 
 type EffectHandler = (effect: PlannerEffect) => Promise<void>
 
-/** One node's part in holding the plan. */
+/** Acquires the plan's lease and advances the plans while this node holds it. */
 export class PlanHolder implements IClosable {
   private state: PlannerState = INITIAL_PLANNER
-  private holding: Holding | undefined
+  private planLease: PlanLease | undefined
   /** Revisions of the plans' keys, for compare-and-swap. */
   private readonly revisions = new Map<string, { readonly version: number, readonly modRevision: number }>()
   private timer: ITimer | undefined
   private readonly subscriptions: IClosable[] = []
   private isRunning = false
-  private isRunWanted = false
-  private nextRenewal: Deadline = 0
-  private nextPlaces: Deadline = 0
-  private nextMeasurement: Deadline = 0
-  private retryStoreAt: Deadline | undefined
+  private isRunPending = false
+  private nextRenewalAt: Deadline = 0
+  private nextPlacesUpdateAt: Deadline = 0
+  private nextMeasurementAt: Deadline = 0
+  private storeRetryAt: Deadline | undefined
   private isClosed = false
 
   constructor (private readonly parts: PlanHolderParts) {}
 
-  /** @returns the epoch if this node holds the plan */
+  /** @returns the epoch if this node holds the plan's lease */
   get epoch (): number | undefined {
-    return this.holding?.epoch
+    return this.planLease?.epoch
   }
 
-  /** Begins to ask for the lease where it is this node's part. */
+  /** Starts trying to acquire the lease while this node is a candidate. */
   start (): void {
     this.subscriptions.push(
       this.parts.keeper.onDidAdopt(() => this.runSoon()),
-      this.parts.board.onDidHear(() => this.lookAtReport())
+      this.parts.collector.onDidReceive(() => this.runIfAwaitingReports())
     )
-    this.schedule(CANDIDATE_SPAN_MS * this.parts.random.next())
+    this.schedule(ACQUIRE_INTERVAL_MS * this.parts.random.next())
   }
 
   async close (): Promise<void> {
@@ -103,39 +103,39 @@
   private finishRound (): void {
     this.isRunning = false
     this.scheduleNext()
-    if (this.isRunWanted) this.runSoon()
+    if (this.isRunPending) this.runSoon()
   }
 
-  /** A drain begins with its first step, not with the next idle round. */
+  /** Runs a round without waiting for the next one, so that a drain begins immediately. */
   private runSoon (): void {
-    this.isRunWanted = this.holding !== undefined && this.isRunning
-    if (this.holding === undefined || this.isRunning) return
+    this.isRunPending = this.planLease !== undefined && this.isRunning
+    if (this.planLease === undefined || this.isRunning) return
     this.timer?.close()
     this.schedule(0)
   }
 
-  /** While everything that moves still settles, no report allows a step. */
-  private lookAtReport (): void {
+  /** Runs a round only if a report may allow a step; none does while all moving services are still settling. */
+  private runIfAwaitingReports (): void {
     if (isAwaitingReports(this.state, this.parts.clock.now())) this.runSoon()
   }
 
   private scheduleNext (): void {
-    if (this.holding === undefined) this.schedule(addJitter(this.parts.random, CANDIDATE_SPAN_MS, CANDIDATE_JITTER))
+    if (this.planLease === undefined) this.schedule(addJitter(this.parts.random, ACQUIRE_INTERVAL_MS, ACQUIRE_JITTER_RATIO))
     else {
       const now = this.parts.clock.now()
-      this.schedule(Math.min(LOOK_SPAN_MS, (findNextSettled(this.state, now) ?? Infinity) - now))
+      this.schedule(Math.min(MAX_ROUND_INTERVAL_MS, (findNextSettled(this.state, now) ?? Infinity) - now))
     }
   }
 
   private async runRound (): Promise<void> {
     if (!this.parts.isLive()) await this.release()
-    else if (this.holding === undefined) await this.acquire()
-    else await this.runHolder(this.holding)
+    else if (this.planLease === undefined) await this.acquire()
+    else await this.runHolder(this.planLease)
   }
 
   private isCandidate (): boolean {
-    const heard = this.parts.board.listMembers().filter((member) => member.isHeard).map((member) => member.nodeId)
-    return rankByRendezvous('plan-holder', heard).slice(0, CANDIDATES).includes(this.parts.nodeId)
+    const liveNodeIds = this.parts.collector.listMembers().filter((member) => member.isHeard).map((member) => member.nodeId)
+    return rankByRendezvous('plan-holder', liveNodeIds).slice(0, MAX_CANDIDATES).includes(this.parts.nodeId)
   }
 
   private async acquire (): Promise<void> {
@@ -143,7 +143,7 @@
     if (!this.isCandidate() || this.parts.keeper.current === undefined) return
     const holder = await store.readHolder(this.createDeadline())
     if (!holder.ok || holder.val !== 0) return
-    const acquired = await store.acquire(nodeId, LEASE_SECONDS, this.createDeadline())
+    const acquired = await store.acquire(nodeId, LEASE_TTL_SECONDS, this.createDeadline())
     if (!acquired.ok) logError(logger, LogLevel.Warn, acquired.val)
     if (!acquired.ok || acquired.val === undefined) return
     const listed = await store.list(this.createDeadline())
@@ -151,72 +151,72 @@
       await store.release(acquired.val, this.createDeadline())
       return
     }
-    this.holding = acquired.val
-    this.nextRenewal = createDeadline(clock.now(), RENEW_SPAN_MS)
+    this.planLease = acquired.val
+    this.nextRenewalAt = createDeadline(clock.now(), RENEW_INTERVAL_MS)
     const documents = listed.val.plans.map((plan) => plan.document)
     for (const { document, modRevision } of listed.val.plans) this.recordRevision(document, modRevision)
     for (const document of documents) this.parts.plans.accept(document)
-    logger.log(LogLevel.Info, { step: 'hold-plan', epoch: acquired.val.epoch }, 'this node holds the plan')
+    logger.log(LogLevel.Info, { step: 'hold-plan', epoch: acquired.val.epoch }, 'acquired the lease of the plan')
     const wallOffsetMs = clock.getWallTime() - clock.now()
     this.apply({ kind: PlannerEventKind.LeaseGained, epoch: acquired.val.epoch, deadline: acquired.val.lease.deadline, documents, wallOffsetMs })
   }
 
   private async release (): Promise<void> {
-    const held = this.holding
-    if (held === undefined) return
-    this.clearHolding('given up')
-    await this.parts.store.release(held, this.createDeadline())
+    const planLease = this.planLease
+    if (planLease === undefined) return
+    this.clearPlanLease('released it')
+    await this.parts.store.release(planLease, this.createDeadline())
   }
 
-  private clearHolding (reason: string): void {
-    this.parts.logger.log(LogLevel.Info, { step: 'hold-plan', epoch: this.holding?.epoch }, `the plan's lease: ${reason}`)
-    this.holding = undefined
-    this.retryStoreAt = undefined
+  private clearPlanLease (reason: string): void {
+    this.parts.logger.log(LogLevel.Info, { step: 'hold-plan', epoch: this.planLease?.epoch }, `no longer holds the lease of the plan: ${reason}`)
+    this.planLease = undefined
+    this.storeRetryAt = undefined
     this.apply({ kind: PlannerEventKind.LeaseLost })
   }
 
-  private async runHolder (holding: Holding): Promise<void> {
+  private async runHolder (planLease: PlanLease): Promise<void> {
     const now = this.parts.clock.now()
-    if (hasPassed(holding.lease.deadline, now)) {
-      this.clearHolding('lapsed')
+    if (hasPassed(planLease.lease.deadline, now)) {
+      this.clearPlanLease('lease expired')
       return
     }
-    if (hasPassed(this.nextRenewal, now)) {
-      this.nextRenewal = createDeadline(now, RENEW_SPAN_MS)
-      runDetached(() => this.renew(holding), this.parts.logger, 'renew-plan-lease')
+    if (hasPassed(this.nextRenewalAt, now)) {
+      this.nextRenewalAt = createDeadline(now, RENEW_INTERVAL_MS)
+      runDetached(() => this.renew(planLease), this.parts.logger, 'renew-plan-lease')
     }
-    if (this.retryStoreAt !== undefined && hasPassed(this.retryStoreAt, now)) {
-      this.retryStoreAt = undefined
+    if (this.storeRetryAt !== undefined && hasPassed(this.storeRetryAt, now)) {
+      this.storeRetryAt = undefined
       this.apply({ kind: PlannerEventKind.StoreUp })
     }
     this.observe(now)
     this.apply({ kind: PlannerEventKind.Tick })
   }
 
-  private async renew (holding: Holding): Promise<void> {
-    const renewed = await this.parts.store.renew(holding, this.createDeadline())
-    if (this.holding?.epoch !== holding.epoch) return
+  private async renew (planLease: PlanLease): Promise<void> {
+    const renewed = await this.parts.store.renew(planLease, this.createDeadline())
+    if (this.planLease?.epoch !== planLease.epoch) return
     if (!renewed.ok) logError(this.parts.logger, LogLevel.Warn, renewed.val)
-    else if (renewed.val === undefined) this.clearHolding('lapsed')
+    else if (renewed.val === undefined) this.clearPlanLease('lease expired')
     else {
-      this.holding = { ...this.holding, lease: renewed.val }
+      this.planLease = { ...this.planLease, lease: renewed.val }
       this.apply({ kind: PlannerEventKind.LeaseRenewed, deadline: renewed.val.deadline })
     }
   }
 
-  /** Tells the planner what this node knows now. */
+  /** Passes the current configuration, members, measurements and places to the planner. */
   private observe (now: number): void {
-    const { board, keeper } = this.parts
+    const { collector, keeper } = this.parts
     const current = keeper.current
     if (current !== undefined && current.head.version !== this.state.configuration?.version) {
       this.apply({ kind: PlannerEventKind.Configuration, version: current.head.version, body: current.body })
     }
-    board.update()
-    this.apply({ kind: PlannerEventKind.Members, members: board.measurements.members })
-    for (const measurement of board.measurements.byNode.values()) this.apply({ kind: PlannerEventKind.Measured, measurement })
-    if (!hasPassed(this.nextPlaces, now)) return
-    this.nextPlaces = createDeadline(now, PLACES_SPAN_MS)
-    this.apply({ kind: PlannerEventKind.Places, places: board.places })
+    collector.update()
+    this.apply({ kind: PlannerEventKind.Members, members: collector.measurements.members })
+    for (const measurement of collector.measurements.byNode.values()) this.apply({ kind: PlannerEventKind.Measured, measurement })
+    if (!hasPassed(this.nextPlacesUpdateAt, now)) return
+    this.nextPlacesUpdateAt = createDeadline(now, PLACES_INTERVAL_MS)
+    this.apply({ kind: PlannerEventKind.Places, places: collector.places })
   }
 
   private apply (event: PlannerEvent): void {
@@ -236,41 +236,41 @@
 
   private async writePlan (document: PlanDocument): Promise<void> {
     const { store, logger, plans } = this.parts
-    const holding = this.holding
-    if (holding === undefined) return
+    const planLease = this.planLease
+    if (planLease === undefined) return
     const { service, version } = document
     const known = this.revisions.get(service)
-    const base = known?.version === version - 1 ? known.modRevision : 0
-    const written = await store.write(document, base, holding, this.createDeadline())
+    const baseRevision = known?.version === version - 1 ? known.modRevision : 0
+    const written = await store.write(document, baseRevision, planLease, this.createDeadline())
     if (written.ok && written.val !== undefined) {
       this.recordRevision(document, written.val)
-      logger.log(LogLevel.Info, { step: 'write-plan', service, version, epoch: document.epoch }, 'the plan took a step')
+      logger.log(LogLevel.Info, { step: 'write-plan', service, version, epoch: document.epoch }, 'wrote a new version of the plan')
       this.apply({ kind: PlannerEventKind.PlanSeen, document })
       plans.accept(document)
       await this.parts.push(service)
       return
     }
     if (!written.ok) logError(logger, LogLevel.Warn, written.val)
-    else await this.checkHolder(holding)
-    if (this.holding?.epoch === holding.epoch) this.apply({ kind: PlannerEventKind.WriteFailed, service })
+    else await this.checkHolder(planLease)
+    if (this.planLease?.epoch === planLease.epoch) this.apply({ kind: PlannerEventKind.WriteFailed, service })
   }
 
-  /** A refused write may mean that another node holds the plan by now. */
-  private async checkHolder (holding: Holding): Promise<void> {
+  /** A rejected write may mean that another node holds the lease now. */
+  private async checkHolder (planLease: PlanLease): Promise<void> {
     const holder = await this.parts.store.readHolder(this.createDeadline())
-    if (holder.ok && holder.val !== holding.holderRevision && this.holding?.epoch === holding.epoch) this.clearHolding('another node has it')
+    if (holder.ok && holder.val !== planLease.holderRevision && this.planLease?.epoch === planLease.epoch) this.clearPlanLease('another node holds it')
   }
 
   private async readPlan (service: string): Promise<void> {
     const read = await this.parts.store.read(service, this.createDeadline())
     if (!read.ok) {
       logError(this.parts.logger, LogLevel.Warn, read.val)
-      this.retryStoreAt = createDeadline(this.parts.clock.now(), STORE_RETRY_SPAN_MS)
+      this.storeRetryAt = createDeadline(this.parts.clock.now(), STORE_RETRY_DELAY_MS)
       this.apply({ kind: PlannerEventKind.StoreDown })
       return
     }
     if (read.val === undefined) {
-      // The first version's write had no effect: it is decided anew.
+      // The write of the first version had no effect; the planner decides again.
       this.state = { ...this.state, pending: new Map([...this.state.pending].filter(([name]) => name !== service)) }
       return
     }
@@ -281,9 +281,9 @@
   }
 
   private async measure (): Promise<void> {
-    if (!hasPassed(this.nextMeasurement, this.parts.clock.now())) return
-    this.nextMeasurement = createDeadline(this.parts.clock.now(), MEASURE_SPAN_MS)
-    // A peer that hangs must not keep the others from being asked again.
+    if (!hasPassed(this.nextMeasurementAt, this.parts.clock.now())) return
+    this.nextMeasurementAt = createDeadline(this.parts.clock.now(), MIN_MEASURE_INTERVAL_MS)
+    // A new exchange may start while this one still waits for a peer that doesn't answer.
     await this.parts.measure()
   }
 
@@ -292,6 +292,6 @@
   }
 
   private createDeadline (): Deadline {
-    return createDeadline(this.parts.clock.now(), CALL_SPAN_MS)
+    return createDeadline(this.parts.clock.now(), STORE_TIMEOUT_MS)
   }
 }
--- a/packages/daemon/src/node/plan/planParts.ts
+++ b/packages/daemon/src/node/plan/planParts.ts
@@ -1,4 +1,4 @@
-/** Creates what measures demand, follows the agreed plan and, on one node, advances it. */
+/** Creates the planning components, which measure demand, follow the agreed plan and, on one node, advance it. */
 import type { CloseStack } from '@umberspar/base/common/closing'
 import type { Digester } from '@umberspar/steering/common/configuration/canonicalJson'
 import type { IKeyValueStore } from '@umberspar/steering/common/ports/keyValueStore'
@@ -16,16 +16,16 @@
 import type { WorkerReports } from '../places/workerReports.js'
 import { DemandMeter } from './demandMeter.js'
 import { DrainPlanner } from './drainPlanner.js'
-import { MeasurementBoard } from './measurementBoard.js'
+import { MeasurementCollector } from './measurementCollector.js'
 import { PlanDocuments } from './planDocuments.js'
 import { PlanHolder } from './planHolder.js'
-import { PlanSpreader } from './planSpreader.js'
+import { PlanPublisher } from './planPublisher.js'
 import { StepReporter } from './stepReporter.js'
 import { PlanStore } from './planStore.js'
 import { PlanTimer } from './planTimer.js'
 import { PlanWatcher } from './planWatcher.js'
 
-/** What planning is made from. */
+/** Dependencies of the planning components. */
 export interface PlanPartInputs extends PartInputs {
   readonly digester: Digester
   readonly store: IKeyValueStore
@@ -40,37 +40,37 @@
   readonly registry: DocumentRegistry
 }
 
-/** The parts of planning. */
+/** The planning components that other parts of the daemon use. */
 export interface PlanParts {
   readonly demand: DemandMeter
-  readonly board: MeasurementBoard
+  readonly board: MeasurementCollector
   readonly planWatcher: PlanWatcher
   readonly planHolder: PlanHolder
   readonly drainPlanner: DrainPlanner
 }
 
 /**
- * @param inputs the daemon's other parts
- * @param owned closes the parts
- * @returns the parts, nothing started yet
+ * @param inputs dependencies of the components
+ * @param owned closes the components
+ * @returns the components, not started yet
  */
 export function createPlanParts (inputs: PlanPartInputs, owned: CloseStack): PlanParts {
   const { settings, clock, random, logger, plans, keeper, members, heartbeats, peerService, registry } = inputs
   const { nodeId, region } = settings
   const demand = new DemandMeter(region, clock)
   const documents = owned.add(new PlanDocuments(plans, inputs.digester, logger))
-  const spreader = owned.add(new PlanSpreader(settings, inputs.peerClient, members, documents, clock, logger))
-  const board = owned.add(new MeasurementBoard(nodeId, demand, inputs.reports, members, clock, () => documents.listInForce()))
+  const publisher = owned.add(new PlanPublisher(settings, inputs.peerClient, members, documents, clock, logger))
+  const collector = owned.add(new MeasurementCollector(nodeId, demand, inputs.reports, members, clock, () => documents.listVersionsInForce()))
   registry.addSource(documents)
-  registry.addObserver(board)
-  plans.setConditions((service) => ({ failedUntil: board.failedUntil, utilization: board.getUtilization(service), measurements: board.measurements }))
-  owned.add(new PlanTimer(board, plans, clock))
+  registry.addObserver(collector)
+  plans.setConditions((service) => ({ failedUntil: collector.failedUntil, utilization: collector.getUtilization(service), measurements: collector.measurements }))
+  owned.add(new PlanTimer(collector, plans, clock))
   owned.add(new StepReporter({
     plans,
     clock,
     logger,
-    getSettleSpan: () => keeper.current?.body.shiftCaps.settleMs,
-    findHolder: () => documents.pusherId === nodeId || members.list().length > SMALL_FLEET ? undefined : documents.pusherId,
+    getSettleMs: () => keeper.current?.body.shiftCaps.settleMs,
+    findHolderId: () => documents.newestPlanOriginId === nodeId || members.list().length > SMALL_FLEET ? undefined : documents.newestPlanOriginId,
     report: (holderId) => heartbeats.reportTo(holderId)
   }))
   const store = new PlanStore(inputs.store, settings.store.keyPrefix)
@@ -79,16 +79,16 @@
     nodeId,
     store,
     plans,
-    board,
+    collector,
     keeper,
     clock,
     random,
     logger,
     isLive: () => peerService.state === NodeState.Live,
     measure: () => heartbeats.exchangeWithAll(),
-    push: (service) => spreader.pushOwn(service)
+    push: (service) => publisher.publish(service)
   }))
-  const drainPlanner = new DrainPlanner(plans, board)
+  const drainPlanner = new DrainPlanner(plans, collector)
   inputs.patches.checkResult = (current, next) => drainPlanner.check(current, next)
-  return { demand, board, planWatcher, planHolder, drainPlanner }
+  return { demand, board: collector, planWatcher, planHolder, drainPlanner }
 }
--- a/packages/daemon/src/node/plan/planSpreader.ts
+++ b/packages/daemon/src/node/plan/planPublisher.ts
@@ -1,7 +1,7 @@
 /**
- * Pushes a new plan: in a small fleet from the holder to everybody, in a larger
- * one down the tree that configurations take. Whoever is missed gets it with a
- * digest.
+ * Pushes a new plan: in a small fleet directly from the plan's holder to all
+ * nodes, in a larger one along the push tree that configurations use as well.
+ * Nodes that miss the push fetch the plan after the next digest.
  */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -16,10 +16,10 @@
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import type { PlanDocuments } from './planDocuments.js'
 
-const PUSH_SPAN_MS = 2000
+const PUSH_TIMEOUT_MS = 2000
 
-/** Hands plans on. */
-export class PlanSpreader implements IClosable {
+/** Publishes this node's plans and forwards plans that peers push. */
+export class PlanPublisher implements IClosable {
   private readonly subscription: IClosable
 
   constructor (
@@ -30,14 +30,14 @@
     private readonly clock: IClock,
     private readonly logger: ILogger
   ) {
-    this.subscription = documents.onDidTakePush((document) => runDetached(() => this.push(document), logger, 'push-plan'))
+    this.subscription = documents.onDidReceivePush((document) => runDetached(() => this.push(document), logger, 'push-plan'))
   }
 
   /**
-   * Begins to push what this node wrote.
-   * @param service whose plan
+   * Pushes a plan that this node wrote.
+   * @param service the plan's service
    */
-  async pushOwn (service: string): Promise<void> {
+  async publish (service: string): Promise<void> {
     const document = this.documents.get(getPlanName(service))
     if (document !== undefined) await this.push({ ...document, route: { originId: this.self.nodeId, scope: PushScope.Global } })
   }
@@ -52,7 +52,7 @@
     await Promise.all(targets.map((nodeId) => this.pushTo(nodeId, document)))
   }
 
-  /** Each hop of the tree would add to the time of every step; up to thirty-two pushes the holder makes itself. */
+  /** In a small fleet the holder pushes to all nodes itself, as each hop of the tree would delay every step. */
   private chooseTargets (route: PushRoute): string[] {
     const nodes = this.members.listActive()
     if (nodes.length > SMALL_FLEET) return choosePushTargets(nodes, this.self, route)
@@ -62,7 +62,7 @@
   private async pushTo (nodeId: string, document: PeerDocument): Promise<void> {
     const address = this.members.get(nodeId)?.vm.peerAddress
     if (address === undefined) return
-    const pushed = await this.client.push(address, document, createDeadline(this.clock.now(), PUSH_SPAN_MS))
+    const pushed = await this.client.push(address, document, createDeadline(this.clock.now(), PUSH_TIMEOUT_MS))
     if (!pushed.ok) logError(this.logger, LogLevel.Debug, pushed.val)
   }
 }
--- a/packages/daemon/src/node/plan/planStore.ts
+++ b/packages/daemon/src/node/plan/planStore.ts
@@ -1,6 +1,6 @@
 /**
  * The plan's keys in the store: `plan/<service>`, `plan-holder` bound to a
- * lease, and `plan-epoch`, which grows with every holder and never vanishes.
+ * lease, and `plan-epoch`, which increases with every holder and is never deleted.
  */
 import type { Deadline } from '@umberspar/base/common/deadline'
 import { ErrorCode, type StepError } from '@umberspar/base/common/errors'
@@ -9,17 +9,17 @@
 import { getPlanName, parsePlan, type PlanDocument } from '@umberspar/steering/common/plan/planDocument'
 import type { GrantedLease, IKeyValueStore, StoredValue } from '@umberspar/steering/common/ports/keyValueStore'
 
-/** A plan and the store's revision of its key. */
+/** A plan and its key's revision in the store. */
 export interface StoredPlan {
   readonly document: PlanDocument
   readonly modRevision: number
 }
 
-/** The right to advance plans. */
-export interface Holding {
+/** The lease that allows one node at a time to advance the plans. */
+export interface PlanLease {
   readonly epoch: number
   readonly lease: GrantedLease
-  /** The revision of the holder's key; it changes with every holder. */
+  /** The revision of the `plan-holder` key; it changes with every holder. */
   readonly holderRevision: number
 }
 
@@ -30,7 +30,7 @@
     private readonly keyPrefix: string
   ) {}
 
-  /** @returns the prefix of all plans, for a watch */
+  /** @returns the key prefix of all plans, for a watch */
   get planPrefix (): string {
     return `${this.keyPrefix}${getPlanName('')}`
   }
@@ -63,19 +63,20 @@
   }
 
   /**
-   * Writes one step. The holder's key is a condition: a holder that was paused
-   * past its lease still believes in it, but its key has vanished or belongs to
-   * another, so that its late step is refused by the store itself.
-   * @param document the step
-   * @param base the revision of the version before it, 0 for none
-   * @param holding the right to write
+   * Writes a new version of a plan, on condition that this node still holds the
+   * lease. A process that was paused beyond its lease still believes that it holds
+   * it, but its `plan-holder` key is gone or belongs to another node, so that the
+   * store rejects the late write.
+   * @param document the new version
+   * @param baseRevision the key's revision with the previous version, 0 for none
+   * @param planLease the lease of this node
    * @param deadline when to give up
-   * @returns the plan's new revision; undefined if the conditions did not hold
+   * @returns the key's new revision; undefined if a condition did not hold
    */
-  async write (document: PlanDocument, base: number, holding: Holding, deadline: Deadline): Promise<Result<number | undefined, StepError>> {
+  async write (document: PlanDocument, baseRevision: number, planLease: PlanLease, deadline: Deadline): Promise<Result<number | undefined, StepError>> {
     const key = `${this.keyPrefix}${getPlanName(document.service)}`
     const written = await this.store.transact({
-      conditions: [{ key: this.holderKey, modRevision: holding.holderRevision }, { key, modRevision: base }],
+      conditions: [{ key: this.holderKey, modRevision: planLease.holderRevision }, { key, modRevision: baseRevision }],
       writes: [{ kind: 'put', key, value: encodeText(encodeCanonical(document)) }]
     }, deadline)
     return written.map(({ isApplied, revision }) => isApplied ? revision : undefined)
@@ -83,7 +84,7 @@
 
   /**
    * @param deadline when to give up
-   * @returns the revision of the holder's key, 0 if nobody holds the plan
+   * @returns the revision of the `plan-holder` key, 0 if no node holds the lease
    */
   async readHolder (deadline: Deadline): Promise<Result<number, StepError>> {
     const read = await this.store.get(this.holderKey, deadline)
@@ -91,57 +92,57 @@
   }
 
   /**
-   * Becomes the holder if there is none.
-   * @param nodeId who wants to hold it
-   * @param ttlSeconds how long the lease lasts without renewal
+   * Acquires the lease if no node holds it.
+   * @param nodeId the node that acquires it
+   * @param ttlSeconds time to live of the lease without renewal, in seconds
    * @param deadline when to give up
-   * @returns the holding, or undefined if somebody else has it
+   * @returns the lease, or undefined if another node holds it
    */
-  async acquire (nodeId: string, ttlSeconds: number, deadline: Deadline): Promise<Result<Holding | undefined, StepError>> {
+  async acquire (nodeId: string, ttlSeconds: number, deadline: Deadline): Promise<Result<PlanLease | undefined, StepError>> {
     const epochRead = await this.store.get(this.epochKey, deadline)
     if (!epochRead.ok) return epochRead
     const lease = await this.store.openLease(ttlSeconds, deadline)
     if (!lease.ok) return lease
     const epoch = decodeEpoch(epochRead.val) + 1
     const { leaseId } = lease.val
-    const swapped = await this.store.transact({
+    const acquired = await this.store.transact({
       conditions: [{ key: this.holderKey, modRevision: 0 }, { key: this.epochKey, modRevision: epochRead.val?.modRevision ?? 0 }],
       writes: [
         { kind: 'put', key: this.holderKey, value: encodeText(JSON.stringify({ nodeId, epoch })), leaseId },
         { kind: 'put', key: this.epochKey, value: encodeText(String(epoch)) }
       ]
     }, deadline)
-    if (swapped.ok && swapped.val.isApplied) return new Ok({ epoch, lease: lease.val, holderRevision: swapped.val.revision })
-    // An answer that was lost may have made this node the holder without its
-    // knowledge; closing the lease takes the key away again.
+    if (acquired.ok && acquired.val.isApplied) return new Ok({ epoch, lease: lease.val, holderRevision: acquired.val.revision })
+    // If only the store's answer was lost, this node holds the lease without
+    // knowing it; closing the lease deletes the key again.
     await this.store.closeLease(leaseId, deadline)
-    return swapped.ok ? new Ok(undefined) : swapped
+    return acquired.ok ? new Ok(undefined) : acquired
   }
 
   /**
-   * @param holding what is held
+   * @param planLease the lease to renew
    * @param deadline when to give up
-   * @returns the renewed lease, or undefined if it has lapsed
+   * @returns the renewed lease, or undefined if it has expired
    */
-  async renew (holding: Holding, deadline: Deadline): Promise<Result<GrantedLease | undefined, StepError>> {
-    const renewed = await this.store.renewLease(holding.lease.leaseId, deadline)
+  async renew (planLease: PlanLease, deadline: Deadline): Promise<Result<GrantedLease | undefined, StepError>> {
+    const renewed = await this.store.renewLease(planLease.lease.leaseId, deadline)
     if (!renewed.ok && renewed.val.code === ErrorCode.NotFound) return new Ok(undefined)
     return renewed
   }
 
   /**
-   * Gives the holding up at once.
-   * @param holding what is held
+   * Gives up the lease immediately.
+   * @param planLease the lease to give up
    * @param deadline when to give up
    */
-  async release (holding: Holding, deadline: Deadline): Promise<Result<void, StepError>> {
-    return await this.store.closeLease(holding.lease.leaseId, deadline)
+  async release (planLease: PlanLease, deadline: Deadline): Promise<Result<void, StepError>> {
+    return await this.store.closeLease(planLease.lease.leaseId, deadline)
   }
 }
 
 /**
  * @param value a stored value of `plan/<service>`
- * @returns the plan, or undefined if it is damaged
+ * @returns the plan, or undefined if it is malformed
  */
 export function decodePlan (value: StoredValue): StoredPlan | undefined {
   const document = parsePlan(new TextDecoder().decode(value.value))
--- a/packages/daemon/src/node/plan/planTimer.ts
+++ b/packages/daemon/src/node/plan/planTimer.ts
@@ -1,33 +1,33 @@
-/** Looks at places and members again and again, so that a failure is seen also where nothing else happens. */
+/** Checks places and members periodically, so that failures are also detected without requests or messages. */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { createDeadline } from '@umberspar/base/common/deadline'
 import type { PlanKeeper } from '../places/planKeeper.js'
-import type { MeasurementBoard } from './measurementBoard.js'
+import type { MeasurementCollector } from './measurementCollector.js'
 
-const LOOK_SPAN_MS = 500
+const CHECK_INTERVAL_MS = 500
 
-/** Brings the board up to date and lets the node step away from what failed. */
+/** Updates the measurements and lets this node move its traffic away from failed places. */
 export class PlanTimer implements IClosable {
   private timer: ITimer | undefined
 
   constructor (
-    private readonly board: MeasurementBoard,
+    private readonly collector: MeasurementCollector,
     private readonly plans: PlanKeeper,
     private readonly clock: IClock
   ) {
-    this.scheduleLook()
+    this.scheduleCheck()
   }
 
   close (): void {
     this.timer?.close()
   }
 
-  private scheduleLook (): void {
-    this.timer = this.clock.schedule(createDeadline(this.clock.now(), LOOK_SPAN_MS), () => {
-      this.board.update()
-      if (this.board.failedUntil.size > 0 || !this.plans.isSettled) this.plans.step()
-      this.scheduleLook()
+  private scheduleCheck (): void {
+    this.timer = this.clock.schedule(createDeadline(this.clock.now(), CHECK_INTERVAL_MS), () => {
+      this.collector.update()
+      if (this.collector.failedUntil.size > 0 || !this.plans.isSettled) this.plans.step()
+      this.scheduleCheck()
     })
   }
 }
--- a/packages/daemon/src/node/plan/planWatcher.ts
+++ b/packages/daemon/src/node/plan/planWatcher.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the plans at the start, and watches them where this node is one of its
- * region's watchers; all others learn of new versions from their peers. Store
- * calls grow with regions, not with nodes.
+ * Reads the plans at the start, and watches them if this node is one of its
+ * region's watchers. All other nodes receive new versions from their peers, so
+ * that the number of store calls grows with regions, not with nodes.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -16,17 +16,17 @@
 import { decodePlan, type PlanStore } from './planStore.js'
 
 const WATCHERS_PER_REGION = 2
-const CHECK_SPAN_MS = 2000
-const CHECK_JITTER = 0.3
-const READ_SPAN_MS = 2000
+const CHECK_INTERVAL_MS = 2000
+const CHECK_JITTER_RATIO = 0.3
+const READ_TIMEOUT_MS = 2000
 
-/** Whose plans are watched, and by whom. */
+/** This node's id and region, by which watchers are chosen. */
 export interface PlanWatcherIdentity {
   readonly nodeId: string
   readonly region: string
 }
 
-/** Keeps the keeper up to date from the store. */
+/** Passes plans from the store to the {@link PlanKeeper}. */
 export class PlanWatcher implements IClosable {
   private watch: IStoreWatch | undefined
   private timer: ITimer | undefined
@@ -35,15 +35,15 @@
   constructor (
     private readonly identity: PlanWatcherIdentity,
     private readonly store: IKeyValueStore,
-    private readonly plans: PlanStore,
-    private readonly keeper: PlanKeeper,
+    private readonly planStore: PlanStore,
+    private readonly plans: PlanKeeper,
     private readonly members: MemberDirectory,
     private readonly clock: IClock,
     private readonly random: IRandomSource,
     private readonly logger: ILogger
   ) {}
 
-  /** Reads all plans once, before this node serves anybody, then watches if it is its part. */
+  /** Reads all plans once, before this node serves requests, then watches them if this node is a watcher. */
   async start (): Promise<void> {
     await this.readAll()
     this.scheduleCheck()
@@ -56,19 +56,19 @@
   }
 
   private async readAll (): Promise<number | undefined> {
-    const listed = await this.plans.list(createDeadline(this.clock.now(), READ_SPAN_MS))
+    const listed = await this.planStore.list(createDeadline(this.clock.now(), READ_TIMEOUT_MS))
     if (!listed.ok) {
       logError(this.logger, LogLevel.Warn, listed.val)
       return undefined
     }
-    for (const { document } of listed.val.plans) this.keeper.accept(document)
+    for (const { document } of listed.val.plans) this.plans.accept(document)
     return listed.val.revision
   }
 
   private isWatcher (): boolean {
     const now = this.clock.now()
-    const own = this.members.list().filter((member) => member.vm.region === this.identity.region && this.members.canServe(member, now))
-    const ranked = rankByRendezvous(`plan-watcher/${this.identity.region}`, own.map((member) => member.vm.vmId))
+    const regionMembers = this.members.list().filter((member) => member.vm.region === this.identity.region && this.members.canServe(member, now))
+    const ranked = rankByRendezvous(`plan-watcher/${this.identity.region}`, regionMembers.map((member) => member.vm.vmId))
     return ranked.slice(0, WATCHERS_PER_REGION).includes(this.identity.nodeId)
   }
 
@@ -79,21 +79,21 @@
       return
     }
     if (this.watch !== undefined) return
-    // A watch that was cut may have missed versions: read first, then watch on from there.
+    // An interrupted watch may have missed versions: read all plans first, then watch from that revision on.
     const revision = await this.readAll()
     if (revision === undefined || this.isClosed) return
     this.startWatch(revision + 1)
   }
 
   private startWatch (fromRevision: number): void {
-    const watch = this.store.watch(this.plans.planPrefix, fromRevision)
+    const watch = this.store.watch(this.planStore.planPrefix, fromRevision)
     this.watch = watch
     watch.onDidChange(({ key, value, modRevision }) => {
       const plan = value === undefined ? undefined : decodePlan({ key, value, modRevision })
-      if (plan !== undefined) this.keeper.accept(plan.document)
+      if (plan !== undefined) this.plans.accept(plan.document)
     })
     watch.onDidEnd((end) => {
-      this.logger.log(LogLevel.Warn, { step: 'watch-plans', peer: 'store', end }, 'watch ended')
+      this.logger.log(LogLevel.Warn, { step: 'watch-plans', peer: 'store', end }, 'the watch on plans has ended and will be started again')
       watch.close()
       if (this.watch === watch) this.watch = undefined
     })
@@ -101,7 +101,7 @@
 
   private scheduleCheck (): void {
     if (this.isClosed) return
-    const at = createDeadline(this.clock.now(), addJitter(this.random, CHECK_SPAN_MS, CHECK_JITTER))
+    const at = createDeadline(this.clock.now(), addJitter(this.random, CHECK_INTERVAL_MS, CHECK_JITTER_RATIO))
     this.timer = this.clock.schedule(at, () => {
       runDetached(() => this.check().finally(() => this.scheduleCheck()), this.logger, 'watch-plans')
     })
--- a/packages/daemon/src/node/plan/stepReporter.ts
+++ b/packages/daemon/src/node/plan/stepReporter.ts
@@ -1,7 +1,7 @@
 /**
- * Tells the plan's holder what this node measured after a step, directly and
- * without being asked: through neighbours the report would take two rounds of
- * heartbeats or more, and the next step would wait for it.
+ * Sends this node's measurements after a step directly to the plan's holder,
+ * without waiting to be asked. Relayed by neighbours, they would take two or more
+ * rounds of heartbeats, and the next step would be delayed until they arrive.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -11,29 +11,29 @@
 import { computeReportAt } from '@umberspar/steering/common/plan/stepTiming'
 import type { PlanKeeper } from '../places/planKeeper.js'
 
-/** Steps of several services come a moment after each other; one report tells of all. */
-const GATHER_SPAN_MS = 20
+/** Steps of several services follow shortly after one another; a short delay lets one report cover them all. */
+const BATCH_DELAY_MS = 20
 
-/** What the reporter works with. */
+/** Dependencies of the reporter. */
 export interface StepReporterParts {
   readonly plans: PlanKeeper
   readonly clock: IClock
   readonly logger: ILogger
-  /** The operators' settle time in milliseconds; undefined before the first configuration. */
-  readonly getSettleSpan: () => number | undefined
-  /** To whom reports go; undefined if the holder is not known, is this node, or has too many nodes to hear from. */
-  readonly findHolder: () => string | undefined
+  /** The configured settle time in milliseconds; undefined before the first configuration. */
+  readonly getSettleMs: () => number | undefined
+  /** The node that receives reports; undefined if the holder is unknown or is this node, or if the fleet is too large for direct reports. */
+  readonly findHolderId: () => string | undefined
   readonly report: (nodeId: string) => Promise<boolean>
 }
 
-/** Reports each step once. */
+/** Reports this node's measurements once after each step. */
 export class StepReporter implements IClosable {
   private readonly subscription: IClosable
-  private readonly dues = new Map<string, Deadline>()
+  private readonly reportTimes = new Map<string, Deadline>()
   private timer: ITimer | undefined
 
   constructor (private readonly parts: StepReporterParts) {
-    this.subscription = parts.plans.onDidReach(({ service }) => this.plan(service))
+    this.subscription = parts.plans.onDidReach(({ service }) => this.planReport(service))
   }
 
   close (): void {
@@ -41,26 +41,26 @@
     this.timer?.close()
   }
 
-  private plan (service: string): void {
-    const settleMs = this.parts.getSettleSpan()
+  private planReport (service: string): void {
+    const settleMs = this.parts.getSettleMs()
     if (settleMs === undefined) return
-    this.dues.set(service, computeReportAt(this.parts.clock.now(), settleMs))
+    this.reportTimes.set(service, computeReportAt(this.parts.clock.now(), settleMs))
     this.scheduleReport()
   }
 
   private scheduleReport (): void {
     this.timer?.close()
-    if (this.dues.size === 0) return
-    this.timer = this.parts.clock.schedule(createDeadline(Math.min(...this.dues.values()), GATHER_SPAN_MS), () => this.report())
+    if (this.reportTimes.size === 0) return
+    this.timer = this.parts.clock.schedule(createDeadline(Math.min(...this.reportTimes.values()), BATCH_DELAY_MS), () => this.report())
   }
 
   private report (): void {
     const now = this.parts.clock.now()
-    for (const [service, due] of this.dues) {
-      if (hasPassed(due, now)) this.dues.delete(service)
+    for (const [service, reportAt] of this.reportTimes) {
+      if (hasPassed(reportAt, now)) this.reportTimes.delete(service)
     }
     this.scheduleReport()
-    const holderId = this.parts.findHolder()
+    const holderId = this.parts.findHolderId()
     if (holderId !== undefined) runDetached(() => this.parts.report(holderId), this.parts.logger, 'report-step')
   }
 }
--- a/packages/daemon/test/node/plan/placeObserver.test.ts
+++ b/packages/daemon/test/node/plan/placeObserver.test.ts
@@ -1,4 +1,4 @@
-/** When a place counts as failed. */
+/** Tests when a place counts as failed. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
@@ -15,15 +15,15 @@
 }
 
 function hasFailed (observer: PlaceObserver, now: number): boolean | undefined {
-  return observer.list(CONFIGURATION, now)[0]?.isFailed
+  return observer.listPlaces(CONFIGURATION, now)[0]?.isFailed
 }
 
 describe('PlaceObserver', () => {
-  it('does not take one lost probe for a failed place', () => {
-    // Callers of one entry VM are sent to another place, and the next drain takes
-    // two seconds longer, since that VM first has to come back in capped steps. On
-    // a busy machine a probe was lost and the answer to the next came late; the
-    // place counted as failed in between.
+  it('does not count a place as failed after one lost probe', () => {
+    // On a busy machine one probe is lost and the answer to the next is late. If the
+    // place counted as failed in between, the entry VM would send its callers to
+    // another place, and the next drain would take two seconds longer because the
+    // traffic first returns in capped steps.
     const observer = new PlaceObserver()
     observer.observe([buildReport(1000, false)])
     assert.equal(hasFailed(observer, 2900), false)
--- a/packages/daemon/test/node/plan/stepReporter.test.ts
+++ b/packages/daemon/test/node/plan/stepReporter.test.ts
@@ -1,4 +1,4 @@
-/** When nodes report their measurements to the plan's holder. */
+/** Tests when nodes report their measurements to the plan's holder. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { Instant } from '@umberspar/base/common/clock'
@@ -12,9 +12,9 @@
 
 describe('StepReporter', () => {
   it('reports each step once, in the second half of the settle time, several services together', () => {
-    // A drain takes twice as long as its caps allow. The holder waits for what
-    // nodes measured after the step, and it came only when the holder asked or by
-    // rounds of heartbeats through neighbours, behind the settle time.
+    // Guards against drains that take twice as long as their caps allow: the holder
+    // waits for measurements taken after each step, which arrived after the settle
+    // time when nodes sent them only on request or relayed by neighbours' heartbeats.
     const clock = new ManualClock()
     const reached = new Emitter<ReachedPlan>()
     const reports: Array<readonly [string, Instant]> = []
@@ -23,8 +23,8 @@
       plans: { onDidReach: reached.event } as unknown as PlanKeeper,
       clock,
       logger: NULL_LOGGER,
-      getSettleSpan: () => SETTLE_MS,
-      findHolder: () => holderId,
+      getSettleMs: () => SETTLE_MS,
+      findHolderId: () => holderId,
       report: async (nodeId) => {
         reports.push([nodeId, clock.now()])
         return true
@@ -36,7 +36,7 @@
     clock.stepTo(200)
     reached.fire({ service: 'c', version: 2 })
     clock.stepTo(SETTLE_MS)
-    assert.equal(reports.length, 1, 'a and b go together, c has its own time')
+    assert.equal(reports.length, 1, 'a and b are reported together, c later')
     const [, at] = reports[0] ?? ['', 0]
     assert.ok(at - 15 > SETTLE_MS / 2 && at < SETTLE_MS, `reported at ${at}`)
     clock.stepTo(200 + SETTLE_MS)
@@ -44,7 +44,7 @@
     holderId = undefined
     reached.fire({ service: 'a', version: 3 })
     clock.stepTo(2000)
-    assert.equal(reports.length, 2, 'nobody is told when the holder is not known')
+    assert.equal(reports.length, 2, 'nothing is reported while the holder is unknown')
     reporter.close()
   })
 })
