--- a/packages/daemon/src/node/limits/limitKeeper.ts
+++ b/packages/daemon/src/node/limits/limitKeeper.ts
@@ -19,7 +19,7 @@
 import type { Digest, IPeerClient, LoanAnswer, LoanRequest, LoanReturn } from '@umberspar/steering/common/ports/peers'
 import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
 import type { ListReading, MemberDirectory } from '../members/memberDirectory.js'
-import type { PartSource, PlaceDirectory } from '../places/placeDirectory.js'
+import type { ShareSource, PlaceDirectory } from '../places/placeDirectory.js'
 import type { PlacePool } from '../places/placePool.js'
 import type { WorkerProber } from '../places/workerProber.js'
 import { buildLimitDocuments, findMemory, findStamp } from './limitDocuments.js'
@@ -50,7 +50,7 @@
 }
 
 /** Parts, acknowledgements and loans of this node. */
-export class LimitKeeper implements IClosable, PartSource {
+export class LimitKeeper implements IClosable, ShareSource {
   private readonly roster: Roster
   private readonly division: PartKeeper
   private readonly loans: LoanKeeper
@@ -75,7 +75,7 @@
     this.lenders = new LenderDirectory(selfId, members, parts.keeper)
     this.loans = new LoanKeeper({ selfId, client, clock, random, logger, listLenders: (pool) => this.lenders.list(pool.key), applyChange: (pool) => this.applyLoans(pool) })
     members.onDidRead((reading) => this.observeList(reading))
-    places.onDidLack((pool) => this.loans.borrow(pool))
+    places.onDidRunOut((pool) => this.loans.borrow(pool))
   }
 
   /** @returns whether this node has its parts, or has waited long enough for them */
@@ -107,12 +107,12 @@
   }
 
   /** @inheritdoc */
-  getPart (slotKey: string): SlotShare {
+  getShare (slotKey: string): SlotShare {
     return this.mayUseParts() ? this.division.getPart(slotKey) : NOTHING
   }
 
   /** @inheritdoc */
-  getPlacePart (placeKey: string): number {
+  getPlaceShare (placeKey: string): number {
     return this.mayUseParts() ? this.division.getPlacePart(placeKey) : 0
   }
 
@@ -232,7 +232,7 @@
 
   private applyParts (): void {
     this.hasChanged = false
-    this.parts.places.applyParts(this)
+    this.parts.places.applyShares(this)
     this.applyConnections()
   }
 
@@ -249,7 +249,7 @@
   private computeUse (): LimitUse {
     const slots = new Map<string, number>()
     const places = new Map<string, number>()
-    for (const pool of this.parts.places.listWithUse()) {
+    for (const pool of this.parts.places.listWithRemoved()) {
       for (const [slotKey, count] of pool.ledger.listUse()) {
         const placeKey = findPlaceKey(slotKey)
         slots.set(slotKey, count)
--- a/packages/daemon/src/node/limits/loanKeeper.ts
+++ b/packages/daemon/src/node/limits/loanKeeper.ts
@@ -170,7 +170,7 @@
   private async borrowFrom ({ pool, lender, slotKey, slots }: Ask): Promise<boolean> {
     const { clock, client, selfId } = this.parts
     const now = clock.now()
-    const needed = Math.max(createDeadline(pool.neededUntil, LOAN_MARGIN_MS), createDeadline(now, SHORTEST_LOAN_SPAN_MS))
+    const needed = Math.max(createDeadline(pool.latestDeadline, LOAN_MARGIN_MS), createDeadline(now, SHORTEST_LOAN_SPAN_MS))
     const deadline = Math.min(needed, createDeadline(now, LONGEST_LOAN_SPAN_MS))
     const request: LoanRequest = { borrowerId: selfId, loanId: randomUUID(), workerId: slotKey, slots, connections: slots * CONNECTIONS_PER_SLOT, deadline }
     const answer = await client.borrow(lender.address, request, createDeadline(now, CALL_SPAN_MS))
@@ -193,7 +193,7 @@
     pool.ledger.addLoan({ loanId, lender: lender.address, lenderId: lender.nodeId, slotKey: request.workerId, slots, connections, deadline, inUse: 0, isClosing: false })
     // A lender lends no slots of a draining worker: an older word of a drain, which
     // nobody would take back at a node that does not probe, is over.
-    pool.applyReady(request.workerId)
+    pool.markReady(request.workerId)
     const acceptedAt = this.parts.clock.now()
     this.usedAt.set(loanId, acceptedAt)
     this.closesAt.set(loanId, createDeadline(acceptedAt, USE_SPAN_MS))
--- a/packages/daemon/src/node/places/admissionQueue.ts
+++ b/packages/daemon/src/node/places/admissionQueue.ts
@@ -1,7 +1,8 @@
 /**
- * The requests of one place that wait for a slot, short calls and uploads in a
- * queue each. What would not start in time is refused on arrival; what was let
- * in and still does not start within its bound is refused then.
+ * Queues the requests of one place that wait for a slot, with separate queues for
+ * short calls and for uploads. Requests that are not expected to start in time are
+ * refused on arrival; admitted requests that exceed their maximum wait are refused
+ * then.
  */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -12,51 +13,51 @@
 import { WaitEstimate } from '@umberspar/steering/common/limits/waitEstimate'
 import PQueue from 'p-queue'
 
-/** How long requests may wait. */
+/** Limits on the waiting of requests. */
 export interface AdmissionPolicy {
-  /** No request waits longer, whatever its deadline, in milliseconds. */
+  /** Maximum wait of any request, whatever its deadline, in milliseconds. */
   readonly longestWaitMs: number
-  /** The part of the bound on its wait that a request's estimated wait may take; the rest is for estimates that are too low. */
+  /** Maximum ratio of a request's estimated wait to its maximum wait; the rest is a margin for estimates that are too low. */
   readonly estimatePart: number
-  /** In place of the configured length of the queue. */
+  /** Overrides the configured maximum length of the queue. */
   readonly maxQueue?: number
 }
 
-/** Used where nothing else is given. */
+/** The policy unless another one is given. */
 export const DEFAULT_ADMISSION_POLICY: AdmissionPolicy = { longestWaitMs: 1000, estimatePart: 0.5 }
 
-/** What is said of the wait where nothing is known, in milliseconds. */
-const UNKNOWN_WAIT_MS = 1000
-const KINDS = Object.values(RequestKind)
+/** Retry-After if the wait can't be estimated. */
+const DEFAULT_RETRY_AFTER_MS = 1000
+const REQUEST_KINDS = Object.values(RequestKind)
 
-/** What the queue needs to know of a request. */
+/** The properties of a request that the queue uses. */
 export interface QueuedRequest {
-  /** 0 first, 9 last. */
+  /** 0 (served first) to 9 (served last). */
   readonly priority: number
   readonly kind: RequestKind
   readonly deadline: Deadline
-  /** Aborted when the caller has gone. */
+  /** Aborted when the caller has disconnected. */
   readonly signal: AbortSignal
 }
 
-/** Where the queue's limits come from. */
+/** Provides the queue's limits. */
 export interface QueueLimits {
-  /** @returns slots that may be used now, taken ones included */
+  /** @returns number of slots that may be used now, including those in use */
   countSlots(): number
-  /** @returns whether a request without a slot may wait for one from a peer */
+  /** @returns whether slots may be borrowed from a peer, so that requests may wait even without any slot */
   mayBorrow(): boolean
 }
 
-/** Lets requests start by priority while slots are free. */
+/** Starts requests by priority while slots are free. */
 export class AdmissionQueue implements IClosable {
   private readonly queues: Readonly<Record<RequestKind, PQueue>> = { [RequestKind.Call]: new PQueue(), [RequestKind.Upload]: new PQueue() }
   private readonly inUse = createCounts()
   /** Waiting requests by kind and priority. */
-  private readonly waitingBy: Record<RequestKind, Map<number, number>> = { [RequestKind.Call]: new Map(), [RequestKind.Upload]: new Map() }
+  private readonly waitingByPriority: Record<RequestKind, Map<number, number>> = { [RequestKind.Call]: new Map(), [RequestKind.Upload]: new Map() }
   private readonly estimate = new WaitEstimate()
   private lastStarted = RequestKind.Upload
   private isUpdating = false
-  /** How many requests may wait. */
+  /** Maximum number of waiting requests. */
   maxQueue = 0
 
   constructor (
@@ -68,45 +69,45 @@
     this.updateLimits()
   }
 
-  /** @returns requests that wait */
+  /** @returns number of waiting requests */
   get waiting (): number {
     return this.queues[RequestKind.Call].size + this.queues[RequestKind.Upload].size
   }
 
-  /** @returns requests that hold a slot */
+  /** @returns number of requests that hold a slot */
   get running (): number {
     return this.inUse[RequestKind.Call] + this.inUse[RequestKind.Upload]
   }
 
   /**
-   * @param request a request that arrives
-   * @returns why it can't be let in; undefined if it may wait
+   * @param request an arriving request
+   * @returns why it is refused; undefined if it is admitted
    */
-  checkRoom (request: QueuedRequest): AdmissionError | undefined {
+  checkAdmission (request: QueuedRequest): AdmissionError | undefined {
     const slots = this.limits.countSlots()
-    if (slots <= 0 && !this.limits.mayBorrow()) return this.createError('this entry VM has no slot here', UNKNOWN_WAIT_MS)
+    if (slots <= 0 && !this.limits.mayBorrow()) return this.createError('this entry VM has no slots in this place', DEFAULT_RETRY_AFTER_MS)
     if (slots > this.running && this.waiting === 0) return undefined
     const waitMs = slots <= 0 ? 0 : this.estimateWaitMs(request)
-    if (this.waiting >= (this.policy.maxQueue ?? this.maxQueue)) return this.createError(`${this.waiting} requests wait already`, waitMs)
-    const meanMs = this.estimate.getMeanSpanMs(request.kind)
-    const leftMs = getRemainingMs(request.deadline, this.clock.now()) - meanMs
+    if (this.waiting >= (this.policy.maxQueue ?? this.maxQueue)) return this.createError(`the queue is full with ${this.waiting} waiting requests`, waitMs)
+    const meanHoldMs = this.estimate.getMeanSpanMs(request.kind)
+    const remainingWaitMs = getRemainingMs(request.deadline, this.clock.now()) - meanHoldMs
     const { estimatePart, longestWaitMs } = this.policy
-    if (waitMs <= estimatePart * Math.min(longestWaitMs, leftMs)) return undefined
-    return this.createError('no slot is expected to come free in time', waitMs)
+    if (waitMs <= estimatePart * Math.min(longestWaitMs, remainingWaitMs)) return undefined
+    return this.createError('no slot is expected to become free in time', waitMs)
   }
 
   /**
-   * Waits for a slot.
-   * @param request a request that `checkRoom` let in
-   * @param hold runs as soon as there is a slot and settles when the slot is free again
-   * @param refuse called instead if the wait ended before
+   * Queues a request for a slot.
+   * @param request a request that {@link checkAdmission} has admitted
+   * @param useSlot called as soon as there is a slot; its promise settles when the slot is free again
+   * @param refuse called instead if the wait ends without a slot
    */
-  add (request: QueuedRequest, hold: () => Promise<void>, refuse: (error: AdmissionError) => void): void {
+  add (request: QueuedRequest, useSlot: () => Promise<void>, refuse: (error: AdmissionError) => void): void {
     const { kind, priority, signal } = request
-    const waiting = new AbortController()
-    const cancel = (): void => waiting.abort()
-    const bound = Math.min(request.deadline, createDeadline(this.clock.now(), this.policy.longestWaitMs))
-    const timer = this.clock.schedule(bound, cancel)
+    const waitController = new AbortController()
+    const cancel = (): void => waitController.abort()
+    const waitDeadline = Math.min(request.deadline, createDeadline(this.clock.now(), this.policy.longestWaitMs))
+    const timer = this.clock.schedule(waitDeadline, cancel)
     signal.addEventListener('abort', cancel, { once: true })
     this.countWaiting(kind, priority, 1)
     const stopWaiting = (): void => {
@@ -114,43 +115,43 @@
       signal.removeEventListener('abort', cancel)
       this.countWaiting(kind, priority, -1)
     }
-    const runHeld = async (): Promise<void> => {
-      // From here on the slot is held: p-queue frees a running task's place when
-      // its signal is aborted, which would let a second request onto it.
+    const runWithSlot = async (): Promise<void> => {
+      // The request holds the slot from here on and must no longer be aborted: p-queue
+      // treats an aborted task as finished, which would give the slot to a second request.
       stopWaiting()
-      await this.runCounted(kind, hold)
+      await this.runAndMeasure(kind, useSlot)
     }
     if (signal.aborted) cancel()
-    this.queues[kind].add(runHeld, { priority: -priority, signal: waiting.signal }).catch(() => {
+    this.queues[kind].add(runWithSlot, { priority: -priority, signal: waitController.signal }).catch(() => {
       stopWaiting()
-      refuse(this.createError('no slot came free in time', this.estimateWaitMs(request)))
+      refuse(this.createError('no slot became free in time', this.estimateWaitMs(request)))
     })
     this.updateLimits()
   }
 
-  /** Applies limits that have changed. */
+  /** Applies the current limits. */
   updateLimits (): void {
-    // Raising a limit starts tasks, and each start asks for the limits again.
+    // Raising a limit starts tasks, and each start calls this method again.
     if (this.isUpdating) return
     this.isUpdating = true
-    for (const kind of KINDS) this.setLimit(kind, this.computeLimits()[kind])
-    for (const kind of KINDS) this.setLimit(kind, this.computeLimits()[kind])
+    for (const kind of REQUEST_KINDS) this.setLimit(kind, this.computeLimits()[kind])
+    for (const kind of REQUEST_KINDS) this.setLimit(kind, this.computeLimits()[kind])
     this.isUpdating = false
   }
 
-  /** Forgets whatever still waits. */
+  /** Discards all waiting requests. */
   close (): void {
-    for (const kind of KINDS) this.queues[kind].clear()
+    for (const kind of REQUEST_KINDS) this.queues[kind].clear()
   }
 
-  private async runCounted (kind: RequestKind, hold: () => Promise<void>): Promise<void> {
+  private async runAndMeasure (kind: RequestKind, useSlot: () => Promise<void>): Promise<void> {
     const startedAt = this.clock.now()
     this.inUse[kind]++
     this.lastStarted = kind
     try {
-      const held = hold()
+      const slotUse = useSlot()
       this.updateLimits()
-      await held
+      await slotUse
       this.estimate.observe(kind, this.clock.now() - startedAt)
     } finally {
       this.inUse[kind]--
@@ -160,11 +161,11 @@
 
   private estimateWaitMs (request: QueuedRequest): number {
     let ahead = 0
-    for (const [priority, count] of this.waitingBy[request.kind]) {
+    for (const [priority, count] of this.waitingByPriority[request.kind]) {
       if (priority <= request.priority) ahead += count
     }
-    const isOwed = this.inUse[request.kind] < computeShare(this.limits.countSlots(), request.kind)
-    return this.estimate.estimateWaitMs({ kind: request.kind, ahead, inUse: this.inUse, isOwed })
+    const isBelowGuarantee = this.inUse[request.kind] < computeShare(this.limits.countSlots(), request.kind)
+    return this.estimate.estimateWaitMs({ kind: request.kind, ahead, inUse: this.inUse, isOwed: isBelowGuarantee })
   }
 
   private computeLimits (): ByKind {
@@ -183,12 +184,12 @@
   }
 
   private countWaiting (kind: RequestKind, priority: number, change: number): void {
-    const counts = this.waitingBy[kind]
+    const counts = this.waitingByPriority[kind]
     counts.set(priority, (counts.get(priority) ?? 0) + change)
   }
 
   private createError (message: string, waitMs: number): AdmissionError {
-    return new AdmissionError(this.place, message, Number.isFinite(waitMs) ? waitMs : UNKNOWN_WAIT_MS)
+    return new AdmissionError(this.place, message, Number.isFinite(waitMs) ? waitMs : DEFAULT_RETRY_AFTER_MS)
   }
 }
 
--- a/packages/daemon/src/node/places/drainReports.ts
+++ b/packages/daemon/src/node/places/drainReports.ts
@@ -1,51 +1,51 @@
 /**
- * What a lender passes on to borrowers: that a worker whose slots it lent drains,
- * or does no longer. Borrowers are in other regions or hold no part; probers do
- * not know of them, and only their lender does.
+ * Reports that a lender forwards to borrowers: that a worker whose slots it lent
+ * has begun or stopped draining. Borrowers are in other regions or have no share
+ * of the worker; its probers don't know them, only their lender does.
  */
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import type { Instant } from '@umberspar/base/common/clock'
 import type { WorkerReport } from '@umberspar/steering/common/ports/peers'
 
-/** A drain that ended is passed on for so long, to those who borrow again. */
-const REMEMBERED_SPAN_MS = 60_000
+/** The end of a drain is reported for this long, to peers that borrow again. */
+const RETENTION_MS = 60_000
 
-interface KeptReport {
+interface RetainedReport {
   report: WorkerReport
-  forgetAt: Deadline
+  expiresAt: Deadline
 }
 
-/** The newest report of each worker that drains or drained lately. */
+/** Keeps the newest report of each worker that is draining or was recently. */
 export class DrainReports {
-  private readonly kept = new Map<string, KeptReport>()
+  private readonly retained = new Map<string, RetainedReport>()
 
   /**
-   * Takes in a report, first-hand or from a peer.
-   * @param report what was found
-   * @param now the present
-   * @returns whether borrowers should hear of it at once
+   * Records a report of this node or of a peer.
+   * @param report the report
+   * @param now the current time
+   * @returns whether borrowers should be told immediately
    */
   observe (report: WorkerReport, now: Instant): boolean {
-    const known = this.kept.get(report.workerId)
-    if (known === undefined && !report.isDraining) return false
-    if (known !== undefined && report.measuredAt <= known.report.measuredAt) return false
-    // Only a probe tells that a drain is over; a load from an answer does not.
-    if (known !== undefined && !report.isDraining && !report.isProbed) return false
-    const isNews = known?.report.isDraining !== report.isDraining
-    this.kept.set(report.workerId, { report, forgetAt: createDeadline(now, REMEMBERED_SPAN_MS) })
-    return isNews
+    const previous = this.retained.get(report.workerId)
+    if (previous === undefined && !report.isDraining) return false
+    if (previous !== undefined && report.measuredAt <= previous.report.measuredAt) return false
+    // Only a probe shows that a drain has ended; a load in an answer does not.
+    if (previous !== undefined && !report.isDraining && !report.isProbed) return false
+    const hasDrainChanged = previous?.report.isDraining !== report.isDraining
+    this.retained.set(report.workerId, { report, expiresAt: createDeadline(now, RETENTION_MS) })
+    return hasDrainChanged
   }
 
   /**
-   * @param isLent whether the peer about to be spoken to borrows slots of the worker at an address
-   * @param now the present
-   * @returns what to tell it
+   * @param isLentToPeer whether the receiving peer borrows slots of the worker at an address
+   * @param now the current time
+   * @returns the reports to send to the peer
    */
-  listFor (isLent: (address: string) => boolean, now: Instant): WorkerReport[] {
+  listFor (isLentToPeer: (address: string) => boolean, now: Instant): WorkerReport[] {
     const reports: WorkerReport[] = []
-    for (const [address, { report, forgetAt }] of this.kept) {
-      if (hasPassed(forgetAt, now)) this.kept.delete(address)
-      else if (isLent(address)) reports.push(report)
+    for (const [address, { report, expiresAt: forgetAt }] of this.retained) {
+      if (hasPassed(forgetAt, now)) this.retained.delete(address)
+      else if (isLentToPeer(address)) reports.push(report)
     }
     return reports
   }
--- a/packages/daemon/src/node/places/placeDirectory.ts
+++ b/packages/daemon/src/node/places/placeDirectory.ts
@@ -1,6 +1,4 @@
-/**
- * All places of the configuration in force, and this entry VM's parts of them.
- */
+/** All places of the configuration in force, with this entry VM's shares of them. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { Emitter } from '@umberspar/base/common/event'
@@ -14,45 +12,45 @@
 import type { AdmissionPolicy } from './admissionQueue.js'
 import { PlacePool } from './placePool.js'
 
-/** A worker of any place, for probes. */
-export interface KnownWorker {
+/** A worker with its place and the entry VMs that use it. */
+export interface PlaceWorker {
   readonly workerId: string
   readonly address: string
   readonly pool: PlacePool
-  /** Entry VMs that have a part of the worker; no others send to it. */
-  readonly holders: readonly string[]
+  /** Ids of the entry VMs that have a share of the worker's slots; others send to it only on borrowed slots. */
+  readonly shareHolders: readonly string[]
 }
 
-/** A worker's address and this entry VM's connections to it. */
+/** A worker's address and the number of connections that this entry VM may open to it. */
 export interface WorkerConnectionLimit {
   readonly address: string
   readonly connections: number
 }
 
-/** Where this entry VM's parts come from. */
-export interface PartSource {
+/** Provides this entry VM's shares. */
+export interface ShareSource {
   /**
    * @param slotKey a worker's slots
-   * @returns the part that may be used now
+   * @returns the share that may be used now
    */
-  getPart(slotKey: string): SlotShare
+  getShare(slotKey: string): SlotShare
   /**
    * @param placeKey a place
-   * @returns the part of the place's own limit; Infinity where there is none
+   * @returns the share of the place's own limit; Infinity if none is configured
    */
-  getPlacePart(placeKey: string): number
+  getPlaceShare(placeKey: string): number
 }
 
-/** Finds pools by service and failure domain. */
+/** Creates the pools of all places and finds them by service and failure domain. */
 export class PlaceDirectory implements IClosable {
   private readonly pools = new Map<string, PlacePool>()
-  /** Pools of places that are no longer configured, until their last request has ended. */
-  private readonly leaving = new Set<PlacePool>()
-  private readonly didLack = new Emitter<PlacePool>()
+  /** Pools of places that are no longer configured, kept until their last request has ended. */
+  private readonly removedPools = new Set<PlacePool>()
+  private readonly didRunOut = new Emitter<PlacePool>()
   private configuration: SteeringConfiguration | undefined
 
-  /** Fires when a request found no free slot in a place. */
-  readonly onDidLack = this.didLack.event
+  /** Fires when a request finds no free slot in a place. */
+  readonly onDidRunOut = this.didRunOut.event
 
   constructor (
     private readonly clock: IClock,
@@ -63,7 +61,7 @@
   /**
    * @param service a service's name
    * @param failureDomain a failure domain's name
-   * @returns the pool, or undefined if the service is not there
+   * @returns the pool, or undefined if the service has no place in the failure domain
    */
   find (service: string, failureDomain: string): PlacePool | undefined {
     return this.pools.get(buildPlaceKey(service, failureDomain))
@@ -74,90 +72,90 @@
     return [...this.pools.values()]
   }
 
-  /** @returns all pools, and those no longer configured whose slots are still in use */
-  listWithUse (): PlacePool[] {
-    for (const pool of this.leaving) {
+  /** @returns all pools, including those that are no longer configured but have slots in use */
+  listWithRemoved (): PlacePool[] {
+    for (const pool of this.removedPools) {
       pool.ledger.removeEnded(this.clock.now())
-      if (pool.ledger.listUse().size === 0) this.leaving.delete(pool)
+      if (pool.ledger.listUse().size === 0) this.removedPools.delete(pool)
     }
-    return [...this.pools.values(), ...this.leaving]
+    return [...this.pools.values(), ...this.removedPools]
   }
 
   /**
-   * Takes over a configuration.
+   * Applies a configuration.
    * @param configuration the configuration in force
-   * @param source this node's parts
-   * @param roster the entry VMs that have a part
-   * @returns all workers
+   * @param source provides this node's shares
+   * @param roster the entry VMs among which slots are divided
+   * @returns the workers of all places
    */
-  update (configuration: SteeringConfiguration, source: PartSource, roster: readonly LookupNode[]): KnownWorker[] {
+  update (configuration: SteeringConfiguration, source: ShareSource, roster: readonly LookupNode[]): PlaceWorker[] {
     this.configuration = configuration
-    const kept = new Set<string>()
-    const known: KnownWorker[] = []
+    const configured = new Set<string>()
+    const workers: PlaceWorker[] = []
     for (const [service, settings] of Object.entries(configuration.services)) {
       for (const [failureDomain, place] of Object.entries(settings.places)) {
         const pool = this.getOrCreate(service, failureDomain, settings.warmUpMs)
-        kept.add(buildPlaceKey(service, failureDomain))
+        configured.add(buildPlaceKey(service, failureDomain))
         const region = findRegion(configuration, failureDomain)
-        const holders = region === undefined ? [] : listServiceEntries(service, region, roster, configuration.entriesPerRegion)
-        for (const [workerId, { address }] of Object.entries(place.workers)) known.push({ workerId, address, pool, holders })
+        const shareHolders = region === undefined ? [] : listServiceEntries(service, region, roster, configuration.entriesPerRegion)
+        for (const [workerId, { address }] of Object.entries(place.workers)) workers.push({ workerId, address, pool, shareHolders })
       }
     }
-    this.removeOthers(kept)
-    this.applyParts(source)
-    return known
+    this.removeUnconfigured(configured)
+    this.applyShares(source)
+    return workers
   }
 
   /**
-   * Hands every pool its parts.
-   * @param source this node's parts
+   * Passes to every pool its current shares.
+   * @param source provides this node's shares
    */
-  applyParts (source: PartSource): void {
+  applyShares (source: ShareSource): void {
     for (const [service, settings] of Object.entries(this.configuration?.services ?? {})) {
       for (const [failureDomain, place] of Object.entries(settings.places)) {
         const pool = this.find(service, failureDomain)
         if (pool === undefined) continue
         pool.updateWorkers(place)
         const keys = Object.keys(place.workers).map((workerId) => pool.getSlotKey(workerId))
-        const slots = new Map(keys.map((slotKey) => [slotKey, source.getPart(slotKey)]))
-        pool.update(slots, source.getPlacePart(buildPlaceKey(service, failureDomain)), settings.maxQueue)
+        const slots = new Map(keys.map((slotKey) => [slotKey, source.getShare(slotKey)]))
+        pool.update(slots, source.getPlaceShare(buildPlaceKey(service, failureDomain)), settings.maxQueue)
       }
     }
   }
 
   /**
-   * @param isProbed tells whether this node probes the worker at an address
-   * @returns every worker with the connections that this node may open to it now
+   * @param isProbed whether this node probes the worker at an address
+   * @returns every worker with the number of connections that this node may open to it now
    */
   listConnections (isProbed: (address: string) => boolean): WorkerConnectionLimit[] {
     return this.list().flatMap((pool) => Object.entries(pool.configuredWorkers).map(([workerId, { address, connections }]) => {
-      const forProbes = isProbed(address) ? computeProbeConnections(connections) : 0
-      return { address, connections: pool.ledger.countConnections(pool.getSlotKey(workerId)) + forProbes }
+      const probeConnections = isProbed(address) ? computeProbeConnections(connections) : 0
+      return { address, connections: pool.ledger.countConnections(pool.getSlotKey(workerId)) + probeConnections }
     }))
   }
 
   close (): void {
     for (const pool of this.pools.values()) pool.close()
     this.pools.clear()
-    this.didLack.close()
+    this.didRunOut.close()
   }
 
   private getOrCreate (service: string, failureDomain: string, warmUpSpanMs: number): PlacePool {
     const name = buildPlaceKey(service, failureDomain)
-    const known = this.pools.get(name)
-    if (known !== undefined) return known
+    const existing = this.pools.get(name)
+    if (existing !== undefined) return existing
     const pool = new PlacePool({ service, failureDomain }, this.clock, this.random, warmUpSpanMs, this.admission)
-    pool.onDidLack((lacking) => this.didLack.fire(lacking))
+    pool.onDidLack((source) => this.didRunOut.fire(source))
     this.pools.set(name, pool)
     return pool
   }
 
-  private removeOthers (kept: ReadonlySet<string>): void {
+  private removeUnconfigured (configured: ReadonlySet<string>): void {
     for (const [name, pool] of this.pools) {
-      if (kept.has(name)) continue
+      if (configured.has(name)) continue
       pool.close()
       this.pools.delete(name)
-      this.leaving.add(pool)
+      this.removedPools.add(pool)
     }
   }
 }
--- a/packages/daemon/src/node/places/placePool.ts
+++ b/packages/daemon/src/node/places/placePool.ts
@@ -1,8 +1,8 @@
 /**
- * One service in one failure domain, as this entry VM may use it: the part of
- * each worker's slots that is its own or borrowed, the requests that wait for
- * one, and the choice of the worker. The sum of all entry VMs' parts never
- * exceeds a worker's slots, so waiting here never overloads it.
+ * One service in one failure domain, as this entry VM may use it: its own and
+ * borrowed shares of each worker's slots, the requests that wait for a slot, and
+ * the choice of the worker. The shares of all entry VMs never add up to more than
+ * a worker's slots, so workers can't be overloaded.
  */
 import type { IClock, Instant } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -25,36 +25,36 @@
 
 export type { PlaceKey, SlotGrant, SlotRequest } from './slotGrant.js'
 
-/** A request on a loan must have ended so long before the loan does, in milliseconds. */
+/** Requests on borrowed slots must end this long before the loan does. */
 const LOAN_END_MARGIN_MS = 500
-/** Retry-After where workers are there but none may take a request, in milliseconds. */
-const NO_WORKER_SPAN_MS = 1000
+/** Retry-After if there are workers but none can accept a request. */
+const NO_WORKER_RETRY_AFTER_MS = 1000
 
-/** Whether slots may come from peers. */
+/** Whether slots can be borrowed from peers. */
 export enum BorrowState {
-  /** Nobody has any to lend. */
+  /** There is no peer that could lend. */
   Impossible = 'impossible',
   Possible = 'possible',
-  /** All who could lend have just refused. */
+  /** All peers that were asked have just refused. */
   Refused = 'refused'
 }
 
-/** Slots and waiting requests of one place at this entry VM. */
+/** Manages slots and waiting requests of one place at this entry VM. */
 export class PlacePool implements IClosable {
   readonly table: WorkerTable
   readonly ledger = new PlaceLedger()
   private readonly queue: AdmissionQueue
-  private readonly didLack = new Emitter<PlacePool>()
+  private readonly didRunOut = new Emitter<PlacePool>()
   private workers: Readonly<Record<string, WorkerConfiguration>> = {}
   private refusals = 0
   private readonly demand = new DemandMean()
-  /** The latest deadline of a request that asked. */
-  neededUntil: Deadline = -Infinity
-  /** Set by whoever asks peers for slots. */
+  /** The latest deadline of all requests that have asked for a slot. */
+  latestDeadline: Deadline = -Infinity
+  /** Set by the component that borrows slots from peers. */
   borrowState = BorrowState.Impossible
 
-  /** Fires when a request found no free slot. */
-  readonly onDidLack = this.didLack.event
+  /** Fires when a request finds no free slot. */
+  readonly onDidLack = this.didRunOut.event
 
   constructor (
     readonly key: PlaceKey,
@@ -65,29 +65,29 @@
   ) {
     this.table = new WorkerTable({ ...DEFAULT_WORKER_POLICY, warmUpSpanMs })
     this.queue = new AdmissionQueue(buildPlaceKey(key.service, key.failureDomain), clock, {
-      countSlots: () => this.countUsable(),
+      countSlots: () => this.countUsableSlots(),
       mayBorrow: () => this.borrowState === BorrowState.Possible
     }, admission)
   }
 
-  /** @returns requests that hold a slot here now */
+  /** @returns number of requests that currently hold a slot */
   get inFlight (): number {
     return this.queue.running
   }
 
-  /** @returns requests that wait for a slot */
+  /** @returns number of requests that wait for a slot */
   get waiting (): number {
     return this.queue.waiting
   }
 
-  /** @returns slots that this entry VM may use now, borrowed ones included */
+  /** @returns number of slots that this entry VM may currently use, including borrowed ones */
   get slots (): number {
-    return this.countUsable()
+    return this.countUsableSlots()
   }
 
   /**
-   * @param now the present
-   * @returns the mean number of requests that held a slot or waited lately
+   * @param now the current time
+   * @returns the recent mean number of requests that hold a slot or wait for one
    */
   getMeanDemand (now: Instant): number {
     return this.demand.getMean(now)
@@ -99,24 +99,24 @@
   }
 
   /**
-   * Notes that a lender, who knows the worker at first hand, takes it for ready.
+   * Marks a worker as not draining because a lender, which has first-hand knowledge of the worker, lends its slots.
    * @param slotKey the worker's slots
    */
-  applyReady (slotKey: string): void {
-    const workerId = this.findWorker(slotKey)
+  markReady (slotKey: string): void {
+    const workerId = this.findWorkerId(slotKey)
     if (workerId !== undefined) this.table.markDraining(workerId, false, this.clock.now())
   }
 
   /**
    * @param slotKey a worker's slots
-   * @returns whether the worker takes no new requests
+   * @returns whether the worker is draining and accepts no new requests
    */
   isDraining (slotKey: string): boolean {
-    const workerId = this.findWorker(slotKey)
+    const workerId = this.findWorkerId(slotKey)
     return workerId !== undefined && this.table.get(workerId)?.isDraining === true
   }
 
-  /** @returns requests refused for lack of a slot since the last call */
+  /** @returns number of requests refused for lack of a slot since the last call */
   takeRefusals (): number {
     const refusals = this.refusals
     this.refusals = 0
@@ -124,39 +124,39 @@
   }
 
   /**
-   * Takes over the place's workers; their parts follow by `update`.
-   * @param place the place as configured
+   * Sets the place's workers; {@link update} sets their shares afterwards.
+   * @param place the configuration of the place
    */
   updateWorkers (place: PlaceConfiguration): void {
     this.workers = place.workers
   }
 
   /**
-   * Takes over this node's parts. Slots in use beyond a smaller part run out by
-   * themselves; nothing new starts on them.
-   * @param parts by slot key
-   * @param placePart the part of the place's own limit; Infinity where the operators set none
-   * @param maxQueue how many requests may wait
+   * Sets this node's shares. If a share becomes smaller than the slots in use,
+   * running requests finish, and no new ones start on the excess slots.
+   * @param shares shares of the workers' slots, by slot key
+   * @param placeShare share of the place's own limit; Infinity if none is configured
+   * @param maxQueue maximum number of waiting requests
    */
-  update (parts: ReadonlyMap<string, SlotShare>, placePart: number, maxQueue: number): void {
+  update (shares: ReadonlyMap<string, SlotShare>, placeShare: number, maxQueue: number): void {
     this.queue.maxQueue = maxQueue
-    this.ledger.setParts(parts, placePart)
+    this.ledger.setParts(shares, placeShare)
     this.applyLedger()
   }
 
-  /** Applies what changed in the ledger: loans that came or ended. */
+  /** Applies changes of the ledger, such as new or expired loans. */
   applyLedger (): void {
     const now = this.clock.now()
     this.ledger.removeEnded(now)
-    const known = new Map(Object.entries(this.workers).map(([workerId, worker]) =>
+    const workers = new Map(Object.entries(this.workers).map(([workerId, worker]) =>
       [workerId, { address: worker.address, slots: this.ledger.countSlots(this.getSlotKey(workerId), now) }]))
-    this.table.updateWorkers(known, now)
+    this.table.updateWorkers(workers, now)
     this.queue.updateLimits()
   }
 
   /**
    * @param workerId one of the place's workers
-   * @returns the name of its slots among entry VMs
+   * @returns the key of its slots, the same at all entry VMs
    */
   getSlotKey (workerId: string): string {
     return buildSlotKey(this.key.service, this.key.failureDomain, workerId, this.workers[workerId]?.address ?? '')
@@ -164,36 +164,36 @@
 
   /**
    * Waits for a slot.
-   * @param request priority, deadline and workers to leave out
-   * @returns a slot of the chosen worker, or why there is none; no byte has left then
+   * @param request priority, deadline and workers to exclude
+   * @returns a slot of the chosen worker, or an error if there is none; nothing has been sent to a worker then
    */
   async acquire (request: SlotRequest): Promise<Result<SlotGrant, StepError>> {
-    if (request.signal.aborted) return new Err(this.createError(ErrorCode.Cancelled, 'the caller has gone'))
+    if (request.signal.aborted) return new Err(this.createError(ErrorCode.Cancelled, 'the caller has disconnected'))
     if (hasPassed(request.deadline, this.clock.now())) return new Err(this.createError(ErrorCode.DeadlinePassed, 'the deadline has passed'))
     this.updateDemand(1)
-    this.neededUntil = Math.max(this.neededUntil, request.deadline)
-    if (this.queue.running >= this.countUsable()) this.didLack.fire(this)
-    const refused = this.queue.checkRoom(request)
+    this.latestDeadline = Math.max(this.latestDeadline, request.deadline)
+    if (this.queue.running >= this.countUsableSlots()) this.didRunOut.fire(this)
+    const refused = this.queue.checkAdmission(request)
     if (refused !== undefined) return this.refuse(refused)
     return new Promise((resolve) => {
       const holdSlot = async (): Promise<void> => {
-        const grant = this.take(request, this.clock.now())
+        const grant = this.reserveSlot(request, this.clock.now())
         if (!grant.ok) {
           resolve(grant)
           return
         }
-        const released = createReleasable()
-        resolve(new Ok(this.createGrant(grant.val.workerId, grant.val.slot, released.resolve)))
-        await released.promise
+        const deferred = createDeferred()
+        resolve(new Ok(this.createGrant(grant.val.workerId, grant.val.slot, deferred.resolve)))
+        await deferred.promise
       }
-      this.queue.add(request, holdSlot, (error) => resolve(this.refuseLate(request, error)))
+      this.queue.add(request, holdSlot, (error) => resolve(this.refuseAfterWait(request, error)))
     })
   }
 
-  /** Refuses whatever still waits. */
+  /** Discards all waiting requests. */
   close (): void {
     this.queue.close()
-    this.didLack.close()
+    this.didRunOut.close()
   }
 
   private refuse (error: StepError): Result<SlotGrant, StepError> {
@@ -201,46 +201,46 @@
     return new Err(error)
   }
 
-  private refuseLate (request: SlotRequest, error: AdmissionError): Result<SlotGrant, StepError> {
-    if (request.signal.aborted) return new Err(this.createError(ErrorCode.Cancelled, 'the caller has gone'))
-    if (hasPassed(request.deadline, this.clock.now())) return new Err(this.createError(ErrorCode.DeadlinePassed, 'no slot came free in time'))
+  private refuseAfterWait (request: SlotRequest, error: AdmissionError): Result<SlotGrant, StepError> {
+    if (request.signal.aborted) return new Err(this.createError(ErrorCode.Cancelled, 'the caller has disconnected'))
+    if (hasPassed(request.deadline, this.clock.now())) return new Err(this.createError(ErrorCode.DeadlinePassed, 'no slot became free in time'))
     return this.refuse(error)
   }
 
-  /** Slots of workers that take requests; a draining worker's are of no use to anybody. */
-  private countUsable (): number {
+  /** Counts the slots of workers that accept requests, and slots of other workers only while they are in use. */
+  private countUsableSlots (): number {
     const now = this.clock.now()
-    let sum = 0
-    let held = 0
+    let usableSlots = 0
+    let slotsStillInUse = 0
     for (const worker of this.table.list()) {
       const isUsable = !worker.isDraining && hasPassed(worker.ejectedUntil, now)
-      if (isUsable) sum += worker.slots
-      else held += worker.inFlight
+      if (isUsable) usableSlots += worker.slots
+      else slotsStillInUse += worker.inFlight
     }
-    return Math.min(sum + held, this.ledger.countPlaceSlots(now))
+    return Math.min(usableSlots + slotsStillInUse, this.ledger.countPlaceSlots(now))
   }
 
-  private take (request: SlotRequest, now: Instant): Result<{ workerId: string, slot: TakenSlot }, StepError> {
-    if (request.signal.aborted) return new Err(this.createError(ErrorCode.Cancelled, 'the caller has gone'))
-    if (hasPassed(request.deadline, now)) return new Err(this.createError(ErrorCode.DeadlinePassed, 'no slot came free in time'))
+  private reserveSlot (request: SlotRequest, now: Instant): Result<{ workerId: string, slot: TakenSlot }, StepError> {
+    if (request.signal.aborted) return new Err(this.createError(ErrorCode.Cancelled, 'the caller has disconnected'))
+    if (hasPassed(request.deadline, now)) return new Err(this.createError(ErrorCode.DeadlinePassed, 'no slot became free in time'))
     const until = createDeadline(request.deadline, LOAN_END_MARGIN_MS)
     const candidates = this.listCandidates(until)
     const workerId = chooseWorker(candidates, now, this.random, request.excluded)
     const slot = workerId === undefined ? undefined : this.ledger.take(this.getSlotKey(workerId), until)
     if (workerId === undefined || slot === undefined) {
       this.refusals++
-      return new Err(new AdmissionError(this.placeName, 'no worker here can take a request', NO_WORKER_SPAN_MS))
+      return new Err(new AdmissionError(this.placeName, 'no worker in this place can accept a request', NO_WORKER_RETRY_AFTER_MS))
     }
     if (this.table.reserve(workerId)) return new Ok({ workerId, slot })
     this.ledger.release(slot)
-    return new Err(new AdmissionError(this.placeName, 'no worker here can take a request', NO_WORKER_SPAN_MS))
+    return new Err(new AdmissionError(this.placeName, 'no worker in this place can accept a request', NO_WORKER_RETRY_AFTER_MS))
   }
 
   private listCandidates (until: Deadline): WorkerState[] {
     return this.table.list().filter((worker) => this.ledger.countFree(this.getSlotKey(worker.workerId), until) > 0)
   }
 
-  private findWorker (slotKey: string): string | undefined {
+  private findWorkerId (slotKey: string): string | undefined {
     return Object.keys(this.workers).find((id) => this.getSlotKey(id) === slotKey)
   }
 
@@ -250,7 +250,7 @@
       this.table.release(workerId)
       this.ledger.release(slot)
       this.updateDemand(-1)
-      // Its slot is gone with the request: a waiting one must not start in its place.
+      // The slot of a closing loan ends with its request; a waiting request must not start on it.
       if (slot.loan?.isClosing === true) this.applyLedger()
       release()
     }
@@ -267,7 +267,7 @@
     }
   }
 
-  /** @param change what is about to be added to, or taken from, the requests here */
+  /** @param change the coming change of the number of running and waiting requests */
   private updateDemand (change: number): void {
     this.demand.update(Math.max(0, this.inFlight + this.waiting + change), this.clock.now())
   }
@@ -281,8 +281,8 @@
   }
 }
 
-/** @returns a promise and the function that settles it */
-function createReleasable (): { promise: Promise<void>, resolve: () => void } {
+/** @returns a promise and the function that resolves it */
+function createDeferred (): { promise: Promise<void>, resolve: () => void } {
   let settle: () => void = () => {}
   const promise = new Promise<void>((resolve) => { settle = resolve })
   return { promise, resolve: settle }
--- a/packages/daemon/src/node/places/planKeeper.ts
+++ b/packages/daemon/src/node/places/planKeeper.ts
@@ -1,8 +1,8 @@
 /**
- * The weights by which this entry VM spreads each client region's requests over
- * failure domains. It follows the agreed plan in steps of at most the operators'
- * cap, with a pause between; since each entry VM moves at most that part of its
- * own traffic, the sum of all moves at most that part as well.
+ * The weights by which this entry VM distributes each client region's requests
+ * over failure domains. They follow the agreed plan in steps of at most the
+ * configured cap, with a settle time in between. Each entry VM moves at most that
+ * share of its own traffic, so the total moves by at most that share as well.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -14,31 +14,31 @@
 import { computeTargetPlan, type Weights } from '@umberspar/steering/common/plan/servicePlan'
 import { computeShift } from '@umberspar/steering/common/plan/stepPlan'
 
-const NOTHING_UNAVAILABLE: ReadonlySet<string> = new Set()
+const NO_UNAVAILABLE_DOMAINS: ReadonlySet<string> = new Set()
 
-/** Which service moved, and by how much. */
+/** A step of one service's weights. */
 export interface PlanStep {
   readonly service: string
-  /** The largest part of a client region's traffic that this step moved, 0 to 1. */
+  /** The largest share of a client region's traffic that this step moved, 0 to 1. */
   readonly shift: number
 }
 
-/** An agreed version that came into force at this node. */
+/** A plan version that has come into force at this node. */
 export interface ReachedPlan {
   readonly service: string
   readonly version: number
 }
 
-/** What this node knows of failures and demand when it steps. */
+/** Returns the known failures and measurements that a step of a service is based on. */
 export type PlanConditions = (service: string) => Pick<NodeStepInput, 'failedUntil' | 'utilization' | 'measurements'>
 
-/** Weights in force at this node, by service. */
+/** Follows the agreed plans and holds the weights in force at this node. */
 export class PlanKeeper implements IClosable {
   private readonly services = new Map<string, NodeService>()
-  /** Plans that came before the configuration did. */
-  private readonly agreed = new Map<string, PlanDocument>()
-  /** Weights that a peer uses, for the start of this node. */
-  private readonly handedOver = new Map<string, Weights>()
+  /** The newest known plan of each service, also of services that aren't configured yet. */
+  private readonly agreedPlans = new Map<string, PlanDocument>()
+  /** Weights in force at a peer, which services start with at this node. */
+  private readonly initialWeights = new Map<string, Weights>()
   private readonly didStep = new Emitter<PlanStep>()
   private readonly didReach = new Emitter<ReachedPlan>()
   private readonly didAccept = new Emitter<PlanDocument>()
@@ -46,19 +46,19 @@
   private conditions: PlanConditions | undefined
   private timer: ITimer | undefined
 
-  /** Fires after weights moved. */
+  /** Fires after weights have changed. */
   readonly onDidStep = this.didStep.event
-  /** Fires after an agreed version came into force. */
+  /** Fires after a plan version has come into force. */
   readonly onDidReach = this.didReach.event
-  /** Fires after a higher version of an agreed plan was taken in. */
+  /** Fires after a higher version of an agreed plan was accepted. */
   readonly onDidAccept = this.didAccept.event
 
   constructor (private readonly clock: IClock) {}
 
   /**
    * @param service a service's name
-   * @param clientRegion where the caller is
-   * @returns weights over failure domains; empty if nothing can serve it
+   * @param clientRegion the caller's region
+   * @returns weights by failure domain; empty if no domain can serve the region
    */
   get (service: string, clientRegion: string): Readonly<Record<string, number>> {
     return this.services.get(service)?.inForce[clientRegion] ?? {}
@@ -74,10 +74,10 @@
 
   /**
    * @param service a service's name
-   * @returns the newest agreed plan known here
+   * @returns the newest agreed plan known to this node
    */
   findAgreed (service: string): PlanDocument | undefined {
-    return this.agreed.get(service)
+    return this.agreedPlans.get(service)
   }
 
   /** @returns services with weights in force */
@@ -86,14 +86,14 @@
   }
 
   /** @returns the newest agreed plans */
-  listAgreed (): PlanDocument[] {
-    return [...this.agreed.values()]
+  listAgreedPlans (): PlanDocument[] {
+    return [...this.agreedPlans.values()]
   }
 
   /**
    * @param service a service's name
    * @param failureDomain a failure domain's name
-   * @returns the mean weight that client regions still have there
+   * @returns the mean weight of the failure domain over all client regions
    */
   computeWeight (service: string, failureDomain: string): number {
     const regions = Object.values(this.services.get(service)?.inForce ?? {})
@@ -106,15 +106,15 @@
     return [...this.services.values()].every(isAtPlan)
   }
 
-  /** @param conditions where failures and demand are read */
+  /** @param conditions returns the failures and measurements for steps */
   setConditions (conditions: PlanConditions): void {
     this.conditions = conditions
   }
 
   /**
-   * Takes over a configuration. A service that is new here starts with a peer's
-   * weights, else the agreed plan, else by distance: a node that restarts then
-   * uses the same weights as the others, and its start is no uncapped shift.
+   * Applies a configuration. A service that is new to this node starts with a
+   * peer's weights, else those of the agreed plan, else by distance. A restarted
+   * node thus uses the same weights as the others and causes no uncapped shift.
    * @param configuration the configuration in force
    */
   update (configuration: SteeringConfiguration): void {
@@ -129,14 +129,14 @@
   }
 
   /**
-   * Takes in an agreed plan from the store or a peer.
-   * @param document the plan; one that is not newer changes nothing
+   * Accepts an agreed plan from the store or a peer.
+   * @param document the plan; ignored unless it is newer than the known one
    * @returns whether it was newer
    */
   accept (document: PlanDocument): boolean {
-    const known = this.agreed.get(document.service)
-    if (known !== undefined && known.version >= document.version) return false
-    this.agreed.set(document.service, document)
+    const current = this.agreedPlans.get(document.service)
+    if (current !== undefined && current.version >= document.version) return false
+    this.agreedPlans.set(document.service, document)
     const state = this.services.get(document.service)
     if (state !== undefined) this.services.set(document.service, acceptPlan(state, document, this.clock.now()))
     this.step()
@@ -145,15 +145,15 @@
   }
 
   /**
-   * Takes over a peer's weights in force; nothing once this node has its own.
+   * Sets the weights that a service starts with; ignored once this node has its own.
    * @param service a service's name
-   * @param weights what the peer uses
+   * @param weights the weights in force at a peer
    */
-  putHandedOver (service: string, weights: Weights): void {
-    if (!this.services.has(service)) this.handedOver.set(service, weights)
+  setInitialWeights (service: string, weights: Weights): void {
+    if (!this.services.has(service)) this.initialWeights.set(service, weights)
   }
 
-  /** Takes the steps that are due now. */
+  /** Makes the steps that are due now. */
   step (): void {
     this.timer?.close()
     this.timer = undefined
@@ -171,11 +171,11 @@
   }
 
   private createService (configuration: SteeringConfiguration, service: string): NodeService {
-    const agreed = this.agreed.get(service)
-    const handedOver = this.handedOver.get(service)
-    this.handedOver.delete(service)
-    const byDistance = computeTargetPlan(configuration, service, NOTHING_UNAVAILABLE).weights
-    return createNodeService(handedOver ?? agreed?.weights ?? byDistance, agreed, this.clock.now())
+    const agreedPlan = this.agreedPlans.get(service)
+    const initialWeights = this.initialWeights.get(service)
+    this.initialWeights.delete(service)
+    const weightsByDistance = computeTargetPlan(configuration, service, NO_UNAVAILABLE_DOMAINS).weights
+    return createNodeService(initialWeights ?? agreedPlan?.weights ?? weightsByDistance, agreedPlan, this.clock.now())
   }
 
   private stepService (configuration: SteeringConfiguration, service: string): void {
@@ -190,13 +190,13 @@
   }
 
   private scheduleNext (configuration: SteeringConfiguration): void {
-    const waiting = [...this.services.values()].filter((state) => !isAtPlan(state))
-    if (waiting.length === 0) return
+    const unsettled = [...this.services.values()].filter((state) => !isAtPlan(state))
+    if (unsettled.length === 0) return
     const { settleMs } = configuration.shiftCaps
     const now = this.clock.now()
-    const dues = waiting.map((state) => createDeadline(Math.max(state.steppedAt, now - settleMs), settleMs))
-    // A service that waits for something else than time is looked at again after the settle time.
-    const at = Math.min(...dues.map((due) => due > now ? due : createDeadline(now, settleMs)))
+    const stepTimes = unsettled.map((state) => createDeadline(Math.max(state.steppedAt, now - settleMs), settleMs))
+    // A service whose step is overdue waits for another condition than time; it is checked again after the settle time.
+    const at = Math.min(...stepTimes.map((due) => due > now ? due : createDeadline(now, settleMs)))
     this.timer = this.clock.schedule(at, () => this.step())
   }
 }
--- a/packages/daemon/src/node/places/slotGrant.ts
+++ b/packages/daemon/src/node/places/slotGrant.ts
@@ -1,18 +1,18 @@
-/** What a request asks of a place, and what it gets. */
+/** Types for requesting and granting a worker's slot in a place. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { WorkerConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import type { WorkerTable } from '@umberspar/steering/common/workers/workerTable'
 import type { QueuedRequest } from './admissionQueue.js'
 
-/** Where the place is. */
+/** Identifies a place: a service in a failure domain. */
 export interface PlaceKey {
   readonly service: string
   readonly failureDomain: string
 }
 
-/** What a request needs of a place. */
+/** A request for a slot. */
 export interface SlotRequest extends QueuedRequest {
-  /** Workers that this request has tried already. */
+  /** Ids of workers that have already been tried for this request. */
   readonly excluded: ReadonlySet<string>
 }
 
@@ -22,9 +22,9 @@
   readonly worker: WorkerConfiguration
   readonly table: WorkerTable
   /**
-   * Gives the slot back; a second call does nothing.
-   * @param heldUntil keeps the slot until then: a worker that was told to cancel
-   * may run on for a moment, and the next request would be one too many
+   * Releases the slot; further calls do nothing.
+   * @param heldUntil when the slot may be used again: a worker that was told to
+   * cancel may still run for a moment, and another request would exceed its slots
    */
   release(heldUntil?: Instant): void
 }
--- a/packages/daemon/src/node/places/workerProber.ts
+++ b/packages/daemon/src/node/places/workerProber.ts
@@ -1,8 +1,9 @@
 /**
- * Asks workers for their health, and for their load where no answer has told it
- * lately. Each worker is probed by two entry VMs only, chosen by rank among those
- * that have a part of it: only they may open connections to it, and what they
- * find concerns them first. A probe costs a worker up to 6 ms of a slot.
+ * Probes workers for their health, and for their load unless a recent answer has
+ * contained it. Each worker is probed by only two entry VMs, chosen by rank among
+ * those that have a share of its slots: only these may open connections to it,
+ * and the results concern them first. A probe occupies a worker's slot for up to
+ * 6 ms.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -13,34 +14,34 @@
 import { addJitter, type IRandomSource } from '@umberspar/base/common/random'
 import { type IUpstreamTransport, ProbeScope } from '@umberspar/adapters/node/upstream/upstreamTransport'
 import { rankByRendezvous } from '@umberspar/steering/common/lookup/rendezvous'
-import type { KnownWorker } from './placeDirectory.js'
+import type { PlaceWorker } from './placeDirectory.js'
 import type { WorkerReports } from './workerReports.js'
 
 const PROBERS_PER_WORKER = 2
 /**
- * Health is asked however lately answers came, since a worker may tell of its
- * drain there alone. Two probers at 1 s ask every 0.5 s on average; one alone
- * still hears of a drain within 1.1 s and the time of a probe.
+ * Health is probed even if answers came recently, because a worker may announce
+ * its drain there alone. With an interval of 1 s, two probers probe every 0.5 s on
+ * average, and a single one detects a drain within 1.1 s plus the probe's duration.
  */
-const PROBE_SPAN_MS = 1_000
-const PROBE_JITTER = 0.1
-const PROBE_DEADLINE_MS = 700
-/** A load known from answers or peers is not asked for within this. */
-const LOAD_FRESH_SPAN_MS = 1_000
-const TICK_SPAN_MS = 100
+const PROBE_INTERVAL_MS = 1_000
+const PROBE_JITTER_RATIO = 0.1
+const PROBE_TIMEOUT_MS = 700
+/** The load is not probed while a load that is newer than this is known from answers or peers. */
+const MAX_LOAD_AGE_MS = 1_000
+const TICK_INTERVAL_MS = 100
 
 const NO_LOAD = { utilization: 0, inFlight: 0 }
 
 /** A worker that this entry VM probes. */
 interface ProbedWorker {
-  worker: KnownWorker
+  worker: PlaceWorker
   dueAt: Deadline
   isRunning: boolean
 }
 
-/** Probes this entry VM's part of the workers. */
+/** Probes the workers for which this entry VM is a prober. */
 export class WorkerProber implements IClosable {
-  private readonly own = new Map<string, ProbedWorker>()
+  private readonly probedWorkers = new Map<string, ProbedWorker>()
   private timer: ITimer | undefined
   private isClosed = false
 
@@ -54,18 +55,18 @@
   ) {}
 
   /**
-   * Takes over the workers of a configuration.
-   * @param workers all workers
+   * Applies the workers of a configuration.
+   * @param workers all configured workers
    */
-  update (workers: readonly KnownWorker[]): void {
-    const before = new Map(this.own)
-    this.own.clear()
+  update (workers: readonly PlaceWorker[]): void {
+    const previous = new Map(this.probedWorkers)
+    this.probedWorkers.clear()
     for (const worker of workers) {
-      const rank = rankByRendezvous(worker.address, worker.holders).indexOf(this.selfId)
+      const rank = rankByRendezvous(worker.address, worker.shareHolders).indexOf(this.selfId)
       if (rank === -1 || rank >= PROBERS_PER_WORKER) continue
-      const known = before.get(worker.address) ?? this.createProbed(worker)
-      known.worker = worker
-      this.own.set(worker.address, known)
+      const probed = previous.get(worker.address) ?? this.createProbedWorker(worker)
+      probed.worker = worker
+      this.probedWorkers.set(worker.address, probed)
     }
   }
 
@@ -74,10 +75,10 @@
    * @returns whether this node probes it
    */
   isProber (address: string): boolean {
-    return this.own.has(address)
+    return this.probedWorkers.has(address)
   }
 
-  /** Begins to probe. */
+  /** Starts probing. */
   start (): void {
     this.scheduleTick()
   }
@@ -87,15 +88,15 @@
     this.timer?.close()
   }
 
-  private createProbed (worker: KnownWorker): ProbedWorker {
-    const dueAt = createDeadline(this.clock.now(), this.random.next() * PROBE_SPAN_MS)
+  private createProbedWorker (worker: PlaceWorker): ProbedWorker {
+    const dueAt = createDeadline(this.clock.now(), this.random.next() * PROBE_INTERVAL_MS)
     return { worker, dueAt, isRunning: false }
   }
 
   private scheduleTick (): void {
     if (this.isClosed) return
-    this.timer = this.clock.schedule(createDeadline(this.clock.now(), TICK_SPAN_MS), () => {
-      for (const probed of this.own.values()) this.startIfDue(probed)
+    this.timer = this.clock.schedule(createDeadline(this.clock.now(), TICK_INTERVAL_MS), () => {
+      for (const probed of this.probedWorkers.values()) this.startIfDue(probed)
       this.scheduleTick()
     })
   }
@@ -103,19 +104,19 @@
   private startIfDue (probed: ProbedWorker): void {
     const now = this.clock.now()
     if (probed.isRunning || !hasPassed(probed.dueAt, now)) return
-    probed.dueAt = createDeadline(now, addJitter(this.random, PROBE_SPAN_MS, PROBE_JITTER))
+    probed.dueAt = createDeadline(now, addJitter(this.random, PROBE_INTERVAL_MS, PROBE_JITTER_RATIO))
     probed.isRunning = true
     runDetached(() => this.probe(probed.worker).finally(() => { probed.isRunning = false }), this.logger, 'probe-worker')
   }
 
-  private async probe ({ address, workerId, pool }: KnownWorker): Promise<void> {
-    // What the worker says was true at some instant after this one; taken for the
-    // instant of the answer, a "ready" could look newer than a drain heard meanwhile.
+  private async probe ({ address, workerId, pool }: PlaceWorker): Promise<void> {
+    // The worker's answer describes some instant after this one. If it were dated by
+    // its arrival, "ready" could seem newer than a drain announced in the meantime.
     const measuredAt = this.clock.now()
     const load = pool.table.get(workerId)?.load
-    const isLoadFresh = load !== undefined && measuredAt - load.takenAt < LOAD_FRESH_SPAN_MS
+    const isLoadFresh = load !== undefined && measuredAt - load.takenAt < MAX_LOAD_AGE_MS
     const scope = isLoadFresh ? ProbeScope.Health : ProbeScope.HealthAndLoad
-    const probed = await this.transport.probe(address, createDeadline(measuredAt, PROBE_DEADLINE_MS), scope)
+    const probed = await this.transport.probe(address, createDeadline(measuredAt, PROBE_TIMEOUT_MS), scope)
     if (this.isClosed) return
     if (probed.ok) {
       const { isDraining, isHealthy, isStarting } = probed.val
@@ -123,7 +124,7 @@
       this.reports.record({ workerId: address, utilization, inFlight, measuredAt, isDraining, isHealthy, isStarting, isProbed: true, hasLoad: probed.val.load !== undefined })
       return
     }
-    // Every connection of ours is busy: that says nothing of the worker's health.
+    // All of this node's connections are busy, which says nothing about the worker's health.
     if (probed.val.code === ErrorCode.Exhausted) return
     this.reports.record({ workerId: address, ...NO_LOAD, measuredAt, isDraining: false, isHealthy: false, isStarting: false, isProbed: true, hasLoad: false })
   }
--- a/packages/daemon/src/node/plan/measurementCollector.ts
+++ b/packages/daemon/src/node/plan/measurementCollector.ts
@@ -84,7 +84,7 @@
     const { configuration } = this
     if (configuration === undefined) return
     const now = this.clock.now()
-    this.observer.observe(this.reports.listFound())
+    this.observer.observe(this.reports.listOwnReports())
     this.state = setMembers(this.state, this.listMembers())
     const own = buildMeasurement(this.selfId, this.listDemand(), this.listInForce())
     if (own !== undefined) this.state = addMeasurement(this.state, own)
--- a/packages/daemon/src/node/plan/planDocuments.ts
+++ b/packages/daemon/src/node/plan/planDocuments.ts
@@ -28,7 +28,7 @@
   ) {}
 
   list (): DocumentVersion[] {
-    return [...this.keeper.listAgreed().map((plan) => this.buildVersion(plan.service, plan.version)), ...this.listVersionsInForce()]
+    return [...this.keeper.listAgreedPlans().map((plan) => this.buildVersion(plan.service, plan.version)), ...this.listVersionsInForce()]
   }
 
   /** @returns for each service, the agreed version that this node has reached; 0 if none */
@@ -79,7 +79,7 @@
     if (isNewPlan && received.route !== undefined) this.didReceivePush.fire(received)
     if (inForceService !== undefined) {
       const weights = parseWeights(text)
-      if (weights !== undefined) this.keeper.putHandedOver(inForceService, weights)
+      if (weights !== undefined) this.keeper.setInitialWeights(inForceService, weights)
     }
   }
 
--- a/packages/daemon/test/node/places/workerReports.test.ts
+++ b/packages/daemon/test/node/places/workerReports.test.ts
@@ -1,4 +1,4 @@
-/** How daemons learn of workers: probes, answers, and each other. */
+/** Tests how daemons learn the states of workers from probes, answers and each other. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { StepError, ErrorCode } from '@umberspar/base/common/errors'
@@ -8,7 +8,7 @@
 import { Err, Ok } from '@umberspar/base/common/result'
 import { type IUpstreamTransport, ProbeScope, type WorkerProbe } from '@umberspar/adapters/node/upstream/upstreamTransport'
 import type { WorkerReport } from '@umberspar/steering/common/ports/peers'
-import type { KnownWorker } from '../../../src/node/places/placeDirectory.js'
+import type { PlaceWorker } from '../../../src/node/places/placeDirectory.js'
 import { PlacePool } from '../../../src/node/places/placePool.js'
 import { WorkerProber } from '../../../src/node/places/workerProber.js'
 import { ManualClock } from '@umberspar/base/common/manualClock'
@@ -25,7 +25,7 @@
   }
 }
 
-/** Workers as their endpoints show them, and how often each was asked. */
+/** Simulates the health and load endpoints of workers and counts probes. */
 class FakeWorkers implements Pick<IUpstreamTransport, 'probe'> {
   readonly draining = new Set<string>()
   readonly broken = new Set<string>()
@@ -58,7 +58,7 @@
   const configured = Object.fromEntries(Array.from({ length: WORKERS }, (_, index) => [`w${index}`, { address: getAddress(index), slots: 4, connections: 8 }]))
   pool.updateWorkers({ workers: configured })
   pool.update(new Map(Object.keys(configured).map((worker) => [pool.getSlotKey(worker), { slots: 1, connections: 2 }])), Infinity, 10)
-  const known: KnownWorker[] = Object.entries(configured).map(([workerId, worker]) => ({ workerId, address: worker.address, pool, holders }))
+  const known: PlaceWorker[] = Object.entries(configured).map(([workerId, worker]) => ({ workerId, address: worker.address, pool, shareHolders: holders }))
   const reports = new WorkerReports(id, clock)
   const prober = new WorkerProber(id, workers as never, reports, clock, new SeededRandom(seed), NULL_LOGGER)
   reports.update(known)
@@ -77,7 +77,7 @@
   }
 }
 
-describe('findings on workers', () => {
+describe('reports on workers', () => {
   const ids = ['e1', 'e2', 'e3', 'e4']
 
   function buildNodes (workers: FakeWorkers, clock: TickedClock): Node[] {
@@ -86,9 +86,9 @@
     return nodes
   }
 
-  // A worker drains and tells it by its health alone, while answers that say nothing
-  // of it keep coming. Work sent after two seconds dies with it.
-  it('reach every holder within 2 s of a drain, also while answers come, with at most two probers a worker', async () => {
+  // A worker announces its drain by its health endpoint alone, while answers without
+  // any sign of it keep arriving. Requests sent to it after 2 s are lost when it stops.
+  it('reach every share holder within 2 s of a drain, even while answers arrive, with at most two probers per worker', async () => {
     const clock = new TickedClock()
     const workers = new FakeWorkers()
     const nodes = buildNodes(workers, clock)
@@ -101,8 +101,8 @@
     const before = workers.health
     await run(clock, nodes, 10_000, 600, observeAnswers)
     const perWorkerSecond = (workers.health - before) / WORKERS / 10
-    assert.ok(perWorkerSecond <= 2.2, `${perWorkerSecond} probes a second of each worker`)
-    assert.ok(workers.load <= 2 * WORKERS, 'asked for loads that answers had told')
+    assert.ok(perWorkerSecond <= 2.2, `${perWorkerSecond} probes per second and worker`)
+    assert.ok(workers.load <= 2 * WORKERS, 'probed for loads that answers had already reported')
     for (let index = 0; index < WORKERS; index++) workers.draining.add(getAddress(index))
     await run(clock, nodes, 2000, 600, observeAnswers)
     const isDrainedEverywhere = nodes.every(({ pool }) => pool.table.list().every(({ isDraining }) => isDraining))
@@ -113,8 +113,8 @@
   })
 
   // An entry VM of another region has borrowed a slot of a worker that then drains.
-  // No prober knows of the borrower; without its lender's word it would send new
-  // requests to the worker for as long as the loan lasts.
+  // Probers don't know the borrower; without a report from its lender it would send
+  // new requests to the worker for as long as the loan lasts.
   it('reach a borrower through its lender, and the end of the drain as well', async () => {
     const clock = new TickedClock()
     const workers = new FakeWorkers()
@@ -132,21 +132,22 @@
     assert.equal(borrower.pool.table.get('w0')?.isDraining, false)
   })
 
-  // An entry VM holds a part of one worker and borrows another's slots from the
-  // same peer. Told only of what it holds, it would send to the other in its drain.
-  it('reach a peer that both holds a part of one worker and borrows another', () => {
+  // An entry VM has a share of one worker and borrows slots of another from the same
+  // peer. With reports only on the shared worker, it would send to the other during
+  // its drain.
+  it('reach a peer that has a share of one worker and borrows slots of another', () => {
     const clock = new TickedClock()
     const lender = buildNode('e1', ['e1', 'e2'], new FakeWorkers(), clock, SEED)
-    const known = Array.from({ length: 2 }, (_, index): KnownWorker => ({ workerId: `w${index}`, address: getAddress(index), pool: lender.pool, holders: index === 0 ? ['e1', 'e2'] : ['e1'] }))
+    const known = Array.from({ length: 2 }, (_, index): PlaceWorker => ({ workerId: `w${index}`, address: getAddress(index), pool: lender.pool, shareHolders: index === 0 ? ['e1', 'e2'] : ['e1'] }))
     lender.reports.update(known)
     lender.pool.ledger.lend({ borrowerId: 'e2', loanId: 'l', workerId: lender.pool.getSlotKey('w1'), slots: 1, connections: 1, deadline: 30_000 }, clock.now(), 0)
     lender.reports.record({ workerId: getAddress(1), utilization: 0, inFlight: 0, measuredAt: clock.now(), isDraining: true, isHealthy: false, isStarting: false, isProbed: true, hasLoad: false })
     assert.deepEqual(lender.reports.listFor('e2').filter(({ isDraining }) => isDraining).map(({ workerId }) => workerId), [getAddress(1)])
   })
 
-  // Both probers of some workers have died. The others must not act on what those
-  // told long ago, and an echo between the living must not keep it alive.
-  it('are not passed on by those that only heard of them', async () => {
+  // Both probers of some workers have crashed. The other nodes must not act on their
+  // old reports, and must not keep these alive by relaying them to each other.
+  it('are not relayed by nodes that received them from a peer', async () => {
     const clock = new TickedClock()
     const [, second, third] = buildNodes(new FakeWorkers(), clock)
     const report: WorkerReport = { workerId: getAddress(0), utilization: 0.9, inFlight: 3, measuredAt: 0, isDraining: true, isHealthy: false, isStarting: false, isProbed: true, hasLoad: true }
@@ -155,7 +156,7 @@
     assert.deepEqual(second!.reports.listFor(third!.id), [])
   })
 
-  it('go only to holders, once unless they matter, and never more than 32 at a time', () => {
+  it('are sent only to share holders, once unless they are urgent, and at most 32 at a time', () => {
     const clock = new TickedClock()
     const node = buildNode('e1', ['e1', 'e2'], new FakeWorkers(), clock, SEED)
     for (let index = 0; index < WORKERS; index++) node.pool.table.observeLoad(`w${index}`, { utilization: 0.5, takenAt: 0 })
