--- a/packages/daemon/src/node/limits/lenderDirectory.ts
+++ b/packages/daemon/src/node/limits/lenderDirectory.ts
@@ -1,20 +1,20 @@
-/** Which peers own parts of a place and may lend of them. */
+/** Finds the peers that own shares of a place and may lend slots. */
 import { listServiceEntries } from '@umberspar/steering/common/lookup/decideLookup'
 import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import { findRegion } from '@umberspar/steering/common/configuration/findRegion'
 import type { PlaceKey } from '../places/placePool.js'
 
-/** A peer that owns a part of a place. */
+/** A peer that owns a share of a place. */
 export interface Lender {
   readonly nodeId: string
-  /** `host:port` of its peers' listener. */
+  /** `host:port` where it listens for peers. */
   readonly address: string
 }
 
-/** Finds lenders; what it found is kept until cleared. */
+/** Finds the lenders of places and caches them until {@link clear}. */
 export class LenderDirectory {
-  private readonly found = new Map<string, readonly Lender[]>()
+  private readonly lendersByPlace = new Map<string, readonly Lender[]>()
 
   constructor (
     private readonly selfId: string,
@@ -24,23 +24,23 @@
 
   /**
    * @param place a place
-   * @returns the service's entry VMs in the place's region, without this node
+   * @returns the service's entry VMs in the place's region, except this node
    */
   list (place: PlaceKey): readonly Lender[] {
     const name = `${place.service}/${place.failureDomain}`
-    const known = this.found.get(name)
-    if (known !== undefined) return known
-    const lenders = this.find(place)
-    this.found.set(name, lenders)
+    const cached = this.lendersByPlace.get(name)
+    if (cached !== undefined) return cached
+    const lenders = this.findLenders(place)
+    this.lendersByPlace.set(name, lenders)
     return lenders
   }
 
-  /** Forgets what was found; to be called when members or configuration changed. */
+  /** Clears the cache; must be called when members or the configuration have changed. */
   clear (): void {
-    this.found.clear()
+    this.lendersByPlace.clear()
   }
 
-  private find ({ service, failureDomain }: PlaceKey): Lender[] {
+  private findLenders ({ service, failureDomain }: PlaceKey): Lender[] {
     const configuration = this.keeper.current?.body
     const region = configuration === undefined ? undefined : findRegion(configuration, failureDomain)
     if (configuration === undefined || region === undefined) return []
--- a/packages/daemon/src/node/limits/limitKeeper.ts
+++ b/packages/daemon/src/node/limits/limitKeeper.ts
@@ -1,6 +1,7 @@
 /**
- * This node's parts of all limits: follows configuration and VM list, tells
- * peers which division it is bound by, and lends and borrows what is idle.
+ * This node's shares of all limits: follows the configuration and the VM list,
+ * announces to peers which division it has acknowledged, and lends and borrows
+ * idle slots.
  */
 import type { IClock, Instant, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -22,19 +23,19 @@
 import type { ShareSource, PlaceDirectory } from '../places/placeDirectory.js'
 import type { PlacePool } from '../places/placePool.js'
 import type { WorkerProber } from '../places/workerProber.js'
-import { buildLimitDocuments, findMemory, findStamp } from './limitDocuments.js'
+import { buildLimitDocuments, findPeerLimitState, findFingerprint } from './limitDocuments.js'
 import { LenderDirectory } from './lenderDirectory.js'
 import { lendIdle } from './lendIdle.js'
 import { LoanKeeper } from './loanKeeper.js'
 
-const STEP_SPAN_MS = 200
-const JITTER = 0.2
-const CALL_SPAN_MS = 1000
-/** How long readiness waits for parts; later they may come from peers. */
-const PARTS_WITHIN_MS = 5000
-const NOTHING: SlotShare = { slots: 0, connections: 0 }
+const STEP_INTERVAL_MS = 200
+const STEP_JITTER_RATIO = 0.2
+const CALL_TIMEOUT_MS = 1000
+/** Readiness waits at most this long for the node's shares; after that, slots may still be borrowed from peers. */
+const MAX_READINESS_DELAY_MS = 5000
+const NO_SHARE: SlotShare = { slots: 0, connections: 0 }
 
-/** What the keeper works with. */
+/** Dependencies of the keeper. */
 export interface LimitKeeperParts {
   readonly selfId: string
   readonly region: string
@@ -49,18 +50,18 @@
   readonly logger: ILogger
 }
 
-/** Parts, acknowledgements and loans of this node. */
+/** Manages this node's shares, acknowledgements and loans. */
 export class LimitKeeper implements IClosable, ShareSource {
   private readonly roster: Roster
-  private readonly division: PartKeeper
+  private readonly divisionTracker: PartKeeper
   private readonly loans: LoanKeeper
   private readonly lenders: LenderDirectory
   private readonly startedAt: Instant
   private readonly barrier: StartBarrier
-  private wasConfirmed = false
+  private wasListed = false
   private viewKey = ''
-  /** Whether parts may have changed since they were handed out. */
-  private hasChanged = false
+  /** Whether shares may have changed since they were last applied to the places. */
+  private hasShareChanged = false
   private isLeaving = false
   private isClosed = false
   private timer: ITimer | undefined
@@ -69,38 +70,38 @@
   constructor (private readonly parts: LimitKeeperParts) {
     const { selfId, client, clock, random, logger, members, places } = parts
     this.roster = new Roster()
-    this.division = new PartKeeper(selfId)
+    this.divisionTracker = new PartKeeper(selfId)
     this.startedAt = clock.now()
     this.barrier = new StartBarrier(this.startedAt)
     this.lenders = new LenderDirectory(selfId, members, parts.keeper)
     this.loans = new LoanKeeper({ selfId, client, clock, random, logger, listLenders: (pool) => this.lenders.list(pool.key), applyChange: (pool) => this.applyLoans(pool) })
-    members.onDidRead((reading) => this.observeList(reading))
+    members.onDidRead((reading) => this.updateRoster(reading))
     places.onDidRunOut((pool) => this.loans.borrow(pool))
   }
 
-  /** @returns whether this node has its parts, or has waited long enough for them */
+  /** @returns whether this node has its shares, or has waited for them for the maximum time */
   get isReady (): boolean {
-    return this.division.isSettled || hasPassed(createDeadline(this.startedAt, PARTS_WITHIN_MS), this.parts.clock.now())
+    return this.divisionTracker.isSettled || hasPassed(createDeadline(this.startedAt, MAX_READINESS_DELAY_MS), this.parts.clock.now())
   }
 
   /**
-   * Begins to exchange acknowledgements.
-   * @param buildDigest this node's heartbeat for a peer
+   * Starts exchanging acknowledgements.
+   * @param buildDigest builds this node's heartbeat for a peer
    */
   start (buildDigest: (peerId: string) => Digest): void {
     this.buildDigest = buildDigest
     this.scheduleStep()
   }
 
-  /** Follows the configuration in force. */
+  /** Applies the configuration in force and the current VM list. */
   update (): void {
     this.lenders.clear()
     this.updateView()
-    this.applyParts()
-    if (this.buildDigest !== undefined) this.exchangeWithMissing()
+    this.applyShares()
+    if (this.buildDigest !== undefined) this.exchangeWithPending()
   }
 
-  /** Lends whatever is idle from here on and borrows nothing more. */
+  /** Lends all idle slots from now on and borrows none. */
   leave (): void {
     this.isLeaving = true
     this.loans.leave()
@@ -108,39 +109,39 @@
 
   /** @inheritdoc */
   getShare (slotKey: string): SlotShare {
-    return this.mayUseParts() ? this.division.getPart(slotKey) : NOTHING
+    return this.mayUseShares() ? this.divisionTracker.getPart(slotKey) : NO_SHARE
   }
 
   /** @inheritdoc */
   getPlaceShare (placeKey: string): number {
-    return this.mayUseParts() ? this.division.getPlacePart(placeKey) : 0
+    return this.mayUseShares() ? this.divisionTracker.getPlacePart(placeKey) : 0
   }
 
-  /** @returns what peers are told: the division that binds this node, whose loans it holds, and who has just left */
+  /** @returns what peers are told: the acknowledged division, the lenders of this node's loans, and recently removed VMs */
   listDocuments (): DocumentVersion[] {
-    // Slots that an earlier process lent count as used until it is certain that nobody holds them.
-    const bound = this.barrier.isOpen ? this.division.findAcknowledged(this.computeUse()) : undefined
+    // Slots lent by an earlier process of this node count as used until it is certain that no peer holds them.
+    const acknowledgedView = this.barrier.isOpen ? this.divisionTracker.findAcknowledged(this.computeUsage()) : undefined
     const lenderIds = this.parts.places.list().flatMap((pool) => pool.ledger.listBorrowed().map((loan) => loan.lenderId))
-    return buildLimitDocuments({ bound, lenderIds, listVersion: this.roster.listVersion, gone: this.roster.listGone() })
+    return buildLimitDocuments({ acknowledgedView, lenderIds, listVersion: this.roster.listVersion, removed: this.roster.listGone() })
   }
 
   /**
-   * Takes in a peer's heartbeat.
-   * @param digest what the peer said
+   * Records a peer's heartbeat.
+   * @param digest the heartbeat
    * @param isAnswer whether it answers a message of this process
    */
   observe (digest: Digest, isAnswer: boolean): void {
     const { nodeId, incarnation } = digest
-    this.division.observeProcess({ nodeId, incarnation })
+    this.divisionTracker.observeProcess({ nodeId, incarnation })
     if (!isAnswer) return
-    this.observeMemory(digest)
-    const stamp = findStamp(digest.documents)
-    if (stamp !== undefined && this.division.observe({ nodeId, incarnation }, stamp)) this.applyParts()
+    this.recordPeerState(digest)
+    const fingerprint = findFingerprint(digest.documents)
+    if (fingerprint !== undefined && this.divisionTracker.observe({ nodeId, incarnation }, fingerprint)) this.applyShares()
   }
 
   /**
-   * @param request a peer's wish
-   * @returns what this node lends of its idle parts
+   * @param request a peer's request
+   * @returns the loan from this node's idle shares
    */
   lend (request: LoanRequest): LoanAnswer {
     const now = this.parts.clock.now()
@@ -149,7 +150,7 @@
     return lendIdle(pool, request, now, this.isLeaving)
   }
 
-  /** @param loan a loan that comes back early */
+  /** @param loan a loan that the borrower returns early */
   settleReturn (loan: LoanReturn): void {
     const now = this.parts.clock.now()
     for (const pool of this.parts.places.list()) {
@@ -164,17 +165,17 @@
     this.loans.close()
   }
 
-  private observeMemory ({ nodeId, documents }: Digest): void {
-    const { holdsLoan, listVersion, gone } = findMemory(documents, this.parts.selfId)
+  private recordPeerState ({ nodeId, documents }: Digest): void {
+    const { holdsLoan, listVersion, removed } = findPeerLimitState(documents, this.parts.selfId)
     this.barrier.observe({ nodeId, holdsLoan, listVersion })
-    if (!this.barrier.isOpen) this.roster.holdGone(gone, this.parts.clock.now())
+    if (!this.barrier.isOpen) this.roster.holdGone(removed, this.parts.clock.now())
   }
 
-  private mayUseParts (): boolean {
+  private mayUseShares (): boolean {
     return this.barrier.isOpen && this.roster.mayUseParts(this.parts.selfId, this.parts.clock.now())
   }
 
-  private observeList (reading: ListReading): void {
+  private updateRoster (reading: ListReading): void {
     this.roster.observeList(reading.snapshot, reading.askedAt, this.parts.clock.now())
     this.update()
   }
@@ -187,15 +188,15 @@
     const { listVersion } = this.roster
     const { version, digest } = current.head
     const members = this.roster.list(region)
-    // The division takes a hash for each worker and entry VM: only what changed is worth it.
+    // Dividing computes a hash for each pair of worker and entry VM, so it's done only after a change.
     const key = JSON.stringify([version, digest, listVersion, members])
     if (key === this.viewKey) return
     this.viewKey = key
     const input = { selfId, region, configuration: current.body, configurationVersion: version, configurationDigest: digest, listVersion, members }
     const view: DivisionView = buildDivisionView(input)
-    if (this.division.applyView(view)) {
-      this.hasChanged = true
-      this.parts.logger.log(LogLevel.Debug, { step: 'divide-limits', listVersion, version, members: view.members.length }, 'limits are divided anew')
+    if (this.divisionTracker.applyView(view)) {
+      this.hasShareChanged = true
+      this.parts.logger.log(LogLevel.Debug, { step: 'divide-limits', listVersion, version, members: view.members.length }, 'divided the limits among the entry VMs')
     }
   }
 
@@ -203,19 +204,19 @@
     const now = this.parts.clock.now()
     this.updateBarrier(now)
     this.updateView()
-    this.logConfirmation(this.roster.mayUseParts(this.parts.selfId, now))
-    if (this.hasChanged) this.applyParts()
-    else this.applyEndedLoans(now)
+    this.logListing(this.roster.mayUseParts(this.parts.selfId, now))
+    if (this.hasShareChanged) this.applyShares()
+    else this.applyExpiredLoans(now)
     this.loans.step(this.parts.places.list())
-    this.exchangeWithMissing()
+    this.exchangeWithPending()
   }
 
-  private logConfirmation (isConfirmed: boolean): void {
-    if (isConfirmed === this.wasConfirmed) return
-    this.wasConfirmed = isConfirmed
-    this.hasChanged = true
-    const text = isConfirmed ? 'the VM list names this node' : 'the VM list is too old or has lost this node: no request starts on its own parts'
-    this.parts.logger.log(isConfirmed ? LogLevel.Info : LogLevel.Warn, { step: 'divide-limits' }, text)
+  private logListing (isListed: boolean): void {
+    if (isListed === this.wasListed) return
+    this.wasListed = isListed
+    this.hasShareChanged = true
+    const text = isListed ? 'the VM list contains this node' : 'the VM list is too old or no longer contains this node: no request starts on its own shares'
+    this.parts.logger.log(isListed ? LogLevel.Info : LogLevel.Warn, { step: 'divide-limits' }, text)
   }
 
   private updateBarrier (now: Instant): void {
@@ -224,14 +225,14 @@
     this.barrier.step(this.roster.listVersion, peers, now, this.roster.policy.holdSpanMs)
   }
 
-  private applyEndedLoans (now: Instant): void {
+  private applyExpiredLoans (now: Instant): void {
     for (const pool of this.parts.places.list()) {
       if (pool.ledger.removeEnded(now)) this.applyLoans(pool)
     }
   }
 
-  private applyParts (): void {
-    this.hasChanged = false
+  private applyShares (): void {
+    this.hasShareChanged = false
     this.parts.places.applyShares(this)
     this.applyConnections()
   }
@@ -246,7 +247,7 @@
     transport.setWorkers(places.listConnections((address) => prober.isProber(address)))
   }
 
-  private computeUse (): LimitUse {
+  private computeUsage (): LimitUse {
     const slots = new Map<string, number>()
     const places = new Map<string, number>()
     for (const pool of this.parts.places.listWithRemoved()) {
@@ -264,25 +265,25 @@
     return this.parts.places.find(service, failureDomain)
   }
 
-  /** Heartbeats may take ways of their own; acknowledgements are asked for directly. */
-  private exchangeWithMissing (): void {
+  /** Requests outstanding acknowledgements directly, as heartbeats reach only neighbours. */
+  private exchangeWithPending (): void {
     const { buildDigest } = this
     if (this.isClosed || buildDigest === undefined) return
-    const missing = new Set(this.division.listMissing())
-    const peers = this.parts.members.listPeers().filter(({ vm }) => missing.has(vm.vmId) || this.barrier.isWaitingFor(vm.vmId))
+    const pendingIds = new Set(this.divisionTracker.listMissing())
+    const peers = this.parts.members.listPeers().filter(({ vm }) => pendingIds.has(vm.vmId) || this.barrier.isWaitingFor(vm.vmId))
     for (const { vm: { vmId, peerAddress } } of peers) {
       if (peerAddress !== undefined) runDetached(() => this.exchange(peerAddress, buildDigest(vmId)), this.parts.logger, 'exchange-acknowledgements')
     }
   }
 
   private async exchange (address: string, digest: Digest): Promise<void> {
-    const answer = await this.parts.client.exchange(address, digest, createDeadline(this.parts.clock.now(), CALL_SPAN_MS))
+    const answer = await this.parts.client.exchange(address, digest, createDeadline(this.parts.clock.now(), CALL_TIMEOUT_MS))
     if (answer.ok && !this.isClosed) this.observe(answer.val, true)
   }
 
   private scheduleStep (): void {
     if (this.isClosed) return
-    const at = createDeadline(this.parts.clock.now(), addJitter(this.parts.random, STEP_SPAN_MS, JITTER))
+    const at = createDeadline(this.parts.clock.now(), addJitter(this.parts.random, STEP_INTERVAL_MS, STEP_JITTER_RATIO))
     this.timer = this.parts.clock.schedule(at, () => {
       this.step()
       this.scheduleStep()
