--- a/packages/daemon/src/node/limits/limitKeeper.ts
+++ b/packages/daemon/src/node/limits/limitKeeper.ts
@@ -19,7 +19,7 @@
 import type { DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
 import type { Digest, IPeerClient, LoanAnswer, LoanRequest, LoanReturn } from '@umberspar/steering/common/ports/peers'
 import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
-import type { ListReading, MemberDirectory } from '../members/memberDirectory.js'
+import type { VmListReading, MemberDirectory } from '../members/memberDirectory.js'
 import type { ShareSource, PlaceDirectory } from '../places/placeDirectory.js'
 import type { PlacePool } from '../places/placePool.js'
 import type { WorkerProber } from '../places/workerProber.js'
@@ -175,8 +175,8 @@
     return this.barrier.isOpen && this.roster.mayUseParts(this.parts.selfId, this.parts.clock.now())
   }
 
-  private updateRoster (reading: ListReading): void {
-    this.roster.observeList(reading.snapshot, reading.askedAt, this.parts.clock.now())
+  private updateRoster (reading: VmListReading): void {
+    this.roster.observeList(reading.snapshot, reading.requestedAt, this.parts.clock.now())
     this.update()
   }
 
--- a/packages/daemon/src/node/members/memberDirectory.ts
+++ b/packages/daemon/src/node/members/memberDirectory.ts
@@ -1,7 +1,7 @@
 /**
- * Which entry VMs there are: the platform's VM list, which lags and may be wrong,
- * joined with what nodes report of themselves and of each other. The list adds
- * members and, after a hold, removes them; reports say in which state each is.
+ * The entry VMs of the fleet: the platform's VM list, which lags behind and may be
+ * wrong, combined with the nodes' reports on themselves and on each other. The list
+ * adds members and, after a grace period, removes them; reports give their states.
  */
 import type { IClock, Instant, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -19,42 +19,42 @@
 import type { SpreadNode } from '@umberspar/steering/common/spread/spreadNode'
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
 
-const POLL_SPAN_MS = 1000
-const MAX_POLL_SPAN_MS = 30_000
-const POLL_JITTER = 0.2
-const POLL_DEADLINE_MS = 2000
-/** A VM that was listed and never heard of for so long is suspected. */
-const FIRST_WORD_SPAN_MS = 10_000
-/** The name under which nodes announce the configuration that they have. */
+const MIN_POLL_INTERVAL_MS = 1000
+const MAX_POLL_INTERVAL_MS = 30_000
+const POLL_JITTER_RATIO = 0.2
+const POLL_TIMEOUT_MS = 2000
+/** A listed VM without any report for this long is suspected. */
+const FIRST_REPORT_TIMEOUT_MS = 10_000
+/** The document name under which nodes announce their configuration version. */
 const CONFIGURATION_DOCUMENT = 'configuration'
 
-/** One entry VM as this node knows it. */
+/** An entry VM as this node knows it. */
 export interface Member {
   readonly vm: VmEntry
-  /** What it last announced; undefined if it was never heard of. */
-  readonly heardState: NodeState | undefined
-  /** Its silence makes it suspected from here on. */
+  /** The state that it last announced; undefined if no report has been received. */
+  readonly announcedState: NodeState | undefined
+  /** When it becomes suspected unless another report is received; undefined if none has been received. */
   readonly suspectAt: Deadline | undefined
-  /** Silent beyond its deadline, or said to be so by its neighbours. */
+  /** Whether it has been silent beyond its deadline, or its neighbours report that it has. */
   readonly isSuspected: boolean
   readonly configurationVersion: number
-  /** The documents that it last announced, with its versions of them. */
+  /** The documents that it last announced, with their versions. */
   readonly documents: readonly DocumentVersion[]
-  /** What it last announced of its demand. */
+  /** The demand that it last announced. */
   readonly demand: readonly DemandReport[]
-  /** Its start; 0 if it was never heard of. */
+  /** Identifies the start of its process; 0 if no report has been received. */
   readonly incarnation: number
 }
 
-/** One answer of the platform's list. */
-export interface ListReading {
+/** A snapshot of the platform's VM list. */
+export interface VmListReading {
   readonly snapshot: VmListSnapshot
-  /** When it was asked for. */
-  readonly askedAt: Instant
+  /** When the request was sent. */
+  readonly requestedAt: Instant
 }
 
-const NEVER_HEARD: Omit<Member, 'vm' | 'isSuspected'> = {
-  heardState: undefined,
+const UNREPORTED_MEMBER: Omit<Member, 'vm' | 'isSuspected'> = {
+  announcedState: undefined,
   suspectAt: undefined,
   configurationVersion: 0,
   documents: [],
@@ -69,25 +69,25 @@
 export function computeMemberState (member: Member): NodeState {
   if (member.vm.state === VmState.Leaving) return NodeState.Leaving
   if (member.isSuspected) return NodeState.Suspected
-  return member.heardState ?? NodeState.Joining
+  return member.announcedState ?? NodeState.Joining
 }
 
-/** The members and the event of their change. */
+/** Maintains the members and notifies of their changes. */
 export class MemberDirectory implements IClosable {
   private readonly table: MemberTable
   private readonly upstreamStates = new Map<string, VmState>()
-  /** By when a member must have been heard of for the first time. */
-  private readonly hearBy = new Map<string, Deadline>()
+  /** Deadlines for the first report of each member; 0 after one has passed. */
+  private readonly firstReportDeadlines = new Map<string, Deadline>()
   private readonly didChange = new Emitter<void>()
-  private readonly didRead = new Emitter<ListReading>()
-  private believed: BelievedList = EMPTY_BELIEVED_LIST
-  private poll: ITimer | undefined
+  private readonly didRead = new Emitter<VmListReading>()
+  private effectiveList: BelievedList = EMPTY_BELIEVED_LIST
+  private pollTimer: ITimer | undefined
   private isClosed = false
 
-  /** Fires when a member came, went or changed its state. */
+  /** Fires when a member was added, was removed or changed its state. */
   readonly onDidChange = this.didChange.event
 
-  /** Fires after each answer of the list, also an unchanged one. */
+  /** Fires each time the list was read, even if it has not changed. */
   readonly onDidRead = this.didRead.event
 
   constructor (
@@ -100,20 +100,20 @@
     this.table = new MemberTable(selfId)
   }
 
-  /** @returns whether the platform's list was read at least once */
+  /** @returns whether the platform's list has been read at least once */
   get isListed (): boolean {
-    return this.believed !== EMPTY_BELIEVED_LIST
+    return this.effectiveList !== EMPTY_BELIEVED_LIST
   }
 
-  /** Reads the list now and then again and again. */
+  /** Reads the list now and then periodically. */
   async start (): Promise<void> {
     await this.update()
     this.schedulePoll()
   }
 
-  /** @returns all members that are believed to exist, this node included if listed */
+  /** @returns all members of the effective VM list, including this node if listed */
   list (): Member[] {
-    return [...this.believed.vms.values()].map(({ vm }) => this.buildMember(vm))
+    return [...this.effectiveList.vms.values()].map(({ vm }) => this.buildMember(vm))
   }
 
   /** @returns the members other than this node */
@@ -123,14 +123,14 @@
 
   /**
    * @param vmId an entry VM
-   * @returns the member, if it is believed to exist
+   * @returns the member, if it is in the effective VM list
    */
   get (vmId: string): Member | undefined {
-    const known = this.believed.vms.get(vmId)
-    return known === undefined ? undefined : this.buildMember(known.vm)
+    const listed = this.effectiveList.vms.get(vmId)
+    return listed === undefined ? undefined : this.buildMember(listed.vm)
   }
 
-  /** @returns the nodes that take part in the spread of documents: neither leaving nor suspected */
+  /** @returns the nodes to which documents are pushed: this node and those that are neither leaving nor suspected */
   listActive (): SpreadNode[] {
     const members = this.list().filter((member) => member.vm.vmId === this.selfId || isActive(computeMemberState(member)))
     return members.map(({ vm }) => ({ nodeId: vm.vmId, region: vm.region }))
@@ -138,88 +138,88 @@
 
   /**
    * @param member a member
-   * @param _now the present
+   * @param _now the current time
    * @returns whether callers may be sent to it
    */
   canServe (member: Member, _now: Instant): boolean {
     if (member.vm.state === VmState.Leaving) return false
     if (member.vm.vmId === this.selfId) return true
-    // A peer never heard of may have just been listed: the platform's word counts
-    // until its first report, or until that is overdue. A node that has only just
-    // started would otherwise name nobody but itself.
-    if (member.heardState === undefined) return !member.isSuspected
-    return member.heardState === NodeState.Live && !member.isSuspected
+    // A peer without a report may have just been listed. The platform's list is trusted
+    // until its first report, or until that is overdue; a node that has just started
+    // would otherwise return no entry VM but itself to callers.
+    if (member.announcedState === undefined) return !member.isSuspected
+    return member.announcedState === NodeState.Live && !member.isSuspected
   }
 
   /**
    * @param vm an upstream VM's id, or the `host:port` of its worker
-   * @returns whether the platform announced that it leaves
+   * @returns whether the platform lists it as leaving
    */
   isUpstreamLeaving (vm: string): boolean {
     return this.upstreamStates.get(vm) === VmState.Leaving
   }
 
   /**
-   * Takes in what a node said of itself, first-hand or relayed.
+   * Records nodes' reports on themselves, first-hand or relayed.
    * @param reports the reports
    */
   observeReports (reports: readonly MemberReport[]): void {
     const now = this.clock.now()
     let isChanged = false
     for (const report of reports) {
-      // A stranger, or a message that decodes to nonsense, must not fill the memory.
-      if (!this.believed.vms.has(report.nodeId)) continue
+      // Reports on unlisted nodes, or garbled messages, must not fill the memory.
+      if (!this.effectiveList.vms.has(report.nodeId)) continue
       if (this.table.observe(report, now)) isChanged = true
     }
     if (isChanged) this.didChange.fire()
   }
 
-  /** @returns the reports of others to hand on in a digest */
+  /** @returns reports of other nodes to relay in a digest */
   listRelayed (): MemberReport[] {
     return this.table.listRelayed(this.clock.now())
   }
 
   /**
-   * Notes which members have fallen silent.
-   * @param ring the nodes that this one speaks to in every round
+   * Marks members as suspected that have been silent for too long.
+   * @param ring the neighbours that this node exchanges digests with in every round
    */
-  updateSilence (ring: readonly string[]): void {
+  markSilentMembers (ring: readonly string[]): void {
     const now = this.clock.now()
-    this.table.updateSize(this.believed.vms.size, ring)
+    this.table.updateSize(this.effectiveList.vms.size, ring)
     const silent = this.table.markSilent(now)
-    const overdue = this.takeOverdue(now)
-    this.table.removeGone((nodeId) => this.believed.vms.has(nodeId), now)
-    for (const nodeId of silent) this.logger.log(LogLevel.Warn, { step: 'suspect-peer', peer: nodeId }, 'peer is silent')
-    if (silent.length > 0 || overdue > 0) this.didChange.fire()
+    const overdueCount = this.countNewlyOverdue(now)
+    this.table.removeGone((nodeId) => this.effectiveList.vms.has(nodeId), now)
+    for (const nodeId of silent) this.logger.log(LogLevel.Warn, { step: 'suspect-peer', peer: nodeId }, 'suspecting a peer that has been silent beyond its deadline')
+    if (silent.length > 0 || overdueCount > 0) this.didChange.fire()
   }
 
-  /** Reads the list now; a failure keeps the members known so far. */
+  /** Reads the list now; if that fails, the known members are kept. */
   async update (): Promise<void> {
-    const askedAt = this.clock.now()
-    const fetched = await this.vmList.fetch(createDeadline(this.clock.now(), POLL_DEADLINE_MS))
+    const requestedAt = this.clock.now()
+    const fetched = await this.vmList.fetch(createDeadline(this.clock.now(), POLL_TIMEOUT_MS))
     if (this.isClosed) return
     if (!fetched.ok) {
       logError(this.logger, LogLevel.Warn, fetched.val)
       return
     }
-    this.didRead.fire({ snapshot: fetched.val, askedAt })
+    this.didRead.fire({ snapshot: fetched.val, requestedAt })
     this.merge(fetched.val.version, fetched.val.vms)
   }
 
   close (): void {
     this.isClosed = true
-    this.poll?.close()
+    this.pollTimer?.close()
     this.didChange.close()
     this.didRead.close()
   }
 
   private buildMember (vm: VmEntry): Member {
     const record = this.table.get(vm.vmId)
-    if (record === undefined) return { ...NEVER_HEARD, vm, isSuspected: this.isOverdue(vm.vmId) }
+    if (record === undefined) return { ...UNREPORTED_MEMBER, vm, isSuspected: this.isOverdue(vm.vmId) }
     const { state, documents, demand, incarnation } = record.report
     return {
       vm,
-      heardState: state,
+      announcedState: state,
       suspectAt: record.suspectAt,
       isSuspected: this.table.isSuspected(vm.vmId, this.clock.now()),
       configurationVersion: documents.find((document) => document.name === CONFIGURATION_DOCUMENT)?.version ?? 0,
@@ -230,19 +230,19 @@
   }
 
   private isOverdue (vmId: string): boolean {
-    return vmId !== this.selfId && hasPassed(this.hearBy.get(vmId) ?? Infinity, this.clock.now())
+    return vmId !== this.selfId && hasPassed(this.firstReportDeadlines.get(vmId) ?? Infinity, this.clock.now())
   }
 
   private merge (version: number, vms: readonly VmEntry[]): void {
     const now = this.clock.now()
-    const before = this.believed
+    const previous = this.effectiveList
     const entries = vms.filter((vm) => vm.role === VmRole.Entry)
-    const isHeard = (vmId: string): boolean => vmId === this.selfId || (this.table.get(vmId) !== undefined && !this.table.isSuspected(vmId, now))
-    this.believed = stepBelievedList(before, { version, vms: entries }, { now, isHeard })
-    if (this.believed.resetAt !== undefined) return
+    const isResponding = (vmId: string): boolean => vmId === this.selfId || (this.table.get(vmId) !== undefined && !this.table.isSuspected(vmId, now))
+    this.effectiveList = stepBelievedList(previous, { version, vms: entries }, { now, isHeard: isResponding })
+    if (this.effectiveList.resetAt !== undefined) return
     this.updateUpstreams(vms)
-    this.updateHearBy(now)
-    if (before === EMPTY_BELIEVED_LIST || before.version !== version || before.vms.size !== this.believed.vms.size) this.didChange.fire()
+    this.updateFirstReportDeadlines(now)
+    if (previous === EMPTY_BELIEVED_LIST || previous.version !== version || previous.vms.size !== this.effectiveList.vms.size) this.didChange.fire()
   }
 
   private updateUpstreams (vms: readonly VmEntry[]): void {
@@ -250,26 +250,26 @@
     for (const vm of vms) {
       if (vm.role !== VmRole.Upstream) continue
       this.upstreamStates.set(vm.vmId, vm.state)
-      // Workers are configured by address; the platform's ids need not be theirs.
+      // Workers are configured by address; their ids may differ from the platform's.
       this.upstreamStates.set(vm.address, vm.state)
     }
   }
 
-  private updateHearBy (now: Instant): void {
-    for (const vmId of this.believed.vms.keys()) {
-      if (!this.hearBy.has(vmId)) this.hearBy.set(vmId, createDeadline(now, FIRST_WORD_SPAN_MS))
+  private updateFirstReportDeadlines (now: Instant): void {
+    for (const vmId of this.effectiveList.vms.keys()) {
+      if (!this.firstReportDeadlines.has(vmId)) this.firstReportDeadlines.set(vmId, createDeadline(now, FIRST_REPORT_TIMEOUT_MS))
     }
-    for (const vmId of [...this.hearBy.keys()]) {
-      if (!this.believed.vms.has(vmId)) this.hearBy.delete(vmId)
+    for (const vmId of [...this.firstReportDeadlines.keys()]) {
+      if (!this.effectiveList.vms.has(vmId)) this.firstReportDeadlines.delete(vmId)
     }
   }
 
-  /** Counts members whose first word has become overdue; each is counted once. */
-  private takeOverdue (now: Instant): number {
+  /** Counts members whose first report has become overdue; each is counted only once. */
+  private countNewlyOverdue (now: Instant): number {
     let count = 0
-    for (const [vmId, deadline] of this.hearBy) {
+    for (const [vmId, deadline] of this.firstReportDeadlines) {
       if (vmId === this.selfId || deadline === 0 || !hasPassed(deadline, now)) continue
-      this.hearBy.set(vmId, 0)
+      this.firstReportDeadlines.set(vmId, 0)
       if (this.table.get(vmId) === undefined) count += 1
     }
     return count
@@ -277,9 +277,9 @@
 
   private schedulePoll (): void {
     if (this.isClosed) return
-    const spanMs = Math.min(MAX_POLL_SPAN_MS, POLL_SPAN_MS * Math.max(1, this.believed.vms.size / SMALL_FLEET))
-    const at = createDeadline(this.clock.now(), addJitter(this.random, spanMs, POLL_JITTER))
-    this.poll = this.clock.schedule(at, () => {
+    const intervalMs = Math.min(MAX_POLL_INTERVAL_MS, MIN_POLL_INTERVAL_MS * Math.max(1, this.effectiveList.vms.size / SMALL_FLEET))
+    const at = createDeadline(this.clock.now(), addJitter(this.random, intervalMs, POLL_JITTER_RATIO))
+    this.pollTimer = this.clock.schedule(at, () => {
       runDetached(() => this.update().finally(() => this.schedulePoll()), this.logger, 'read-vm-list')
     })
   }
--- a/packages/daemon/src/node/peers/documentRegistry.ts
+++ b/packages/daemon/src/node/peers/documentRegistry.ts
@@ -1,43 +1,43 @@
 /**
- * Documents beside the configuration that daemons hand on to each other. A
- * source registers here; heartbeats then announce, fetch and push for it.
+ * Documents other than the configuration that daemons exchange. Sources register
+ * here; their documents are then announced, fetched and pushed with heartbeats.
  */
 import type { DemandReport, DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
 import type { Digest, PeerDocument } from '@umberspar/steering/common/ports/peers'
 
-/** Who owns documents of some names. */
+/** Provides and accepts the documents of certain names. */
 export interface IDocumentSource {
-  /** @returns what this node announces */
+  /** @returns the documents that this node announces */
   list(): readonly DocumentVersion[]
-  /** @returns the document, or undefined if this node has none of the name */
+  /** @returns the document, or undefined if this node has none with this name */
   get(name: string): PeerDocument | undefined
-  /** @returns whether a peer's document is worth fetching */
-  shouldFetch(theirs: DocumentVersion): boolean
-  /** @returns whether a peer that has `theirs`, or none, should be given ours */
-  shouldPush(ours: DocumentVersion, theirs: DocumentVersion | undefined): boolean
-  /** Takes in a document; a damaged or older one changes nothing. */
+  /** @returns whether a peer's document should be fetched */
+  shouldFetch(remote: DocumentVersion): boolean
+  /** @returns whether the local document should be pushed to a peer that has the remote one, or none */
+  shouldPush(local: DocumentVersion, remote: DocumentVersion | undefined): boolean
+  /** Accepts a document from a peer; an invalid or older one is ignored. */
   apply(document: PeerDocument, source: string): void
 }
 
-/** Who takes part in heartbeats with measurements. */
+/** Adds measurements to heartbeats and receives those of peers. */
 export interface IDigestObserver {
   /** @returns this node's demand for its heartbeat */
   listDemand(): readonly DemandReport[]
-  /** Takes in a peer's heartbeat. */
+  /** Records a peer's heartbeat. */
   observe(digest: Digest): void
 }
 
-/** All sources and observers of one daemon. */
+/** Holds all sources and observers of a daemon. */
 export class DocumentRegistry {
   private readonly sources: IDocumentSource[] = []
   private readonly observers: IDigestObserver[] = []
 
-  /** @param source whose documents are handed on from now on */
+  /** @param source its documents are exchanged from now on */
   addSource (source: IDocumentSource): void {
     this.sources.push(source)
   }
 
-  /** @param observer who sees heartbeats from now on */
+  /** @param observer receives heartbeats from now on */
   addObserver (observer: IDigestObserver): void {
     this.observers.push(observer)
   }
@@ -47,7 +47,7 @@
     return this.sources.flatMap((source) => source.list())
   }
 
-  /** @returns the own demand */
+  /** @returns this node's demand */
   listDemand (): DemandReport[] {
     return this.observers.flatMap((observer) => observer.listDemand())
   }
@@ -71,32 +71,32 @@
 
   /**
    * @param digest a peer's heartbeat
-   * @returns names and own versions of what to fetch from it
+   * @returns names and local versions of the documents to fetch from the peer
    */
-  listWanted (digest: Digest): Array<{ readonly name: string, readonly aboveVersion: number }> {
+  listDocumentsToFetch (digest: Digest): Array<{ readonly name: string, readonly aboveVersion: number }> {
     return digest.documents
-      .filter((theirs) => this.sources.some((source) => source.shouldFetch(theirs)))
+      .filter((remote) => this.sources.some((source) => source.shouldFetch(remote)))
       .map(({ name }) => ({ name, aboveVersion: this.get(name)?.document.version ?? 0 }))
   }
 
   /**
    * @param digest a peer's heartbeat
-   * @returns documents that the peer lacks
+   * @returns documents to push to the peer because it has none or an older version
    */
-  listLacking (digest: Digest): PeerDocument[] {
-    const theirs = new Map(digest.documents.map((document) => [document.name, document]))
+  listDocumentsToPush (digest: Digest): PeerDocument[] {
+    const remoteByName = new Map(digest.documents.map((document) => [document.name, document]))
     return this.sources.flatMap((source) => source.list()
-      .filter((ours) => source.shouldPush(ours, theirs.get(ours.name)))
+      .filter((local) => source.shouldPush(local, remoteByName.get(local.name)))
       .flatMap(({ name }) => source.get(name) ?? []))
   }
 
   /**
-   * @param document what a peer sent
+   * @param document a document from a peer
    * @param source the peer, for the log
-   * @returns the version that this node has afterwards, 0 for none
+   * @returns this node's version of the document afterwards, 0 if it has none
    */
   apply (document: PeerDocument, source: string): number {
-    for (const each of this.sources) each.apply(document, source)
+    for (const documentSource of this.sources) documentSource.apply(document, source)
     return this.get(document.document.name)?.document.version ?? 0
   }
 }
--- a/packages/daemon/src/node/peers/documentSpreader.ts
+++ b/packages/daemon/src/node/peers/documentSpreader.ts
@@ -1,7 +1,7 @@
 /**
- * Pushes a configuration that this node has just taken over to its children in
- * the push tree. A push that fails is not repeated: the child learns of the
- * version by the next digests and fetches it.
+ * Pushes a configuration that this node has just received to its children in the
+ * push tree. A failed push is not retried: the child learns of the version from
+ * the next digests and fetches it.
  */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -15,17 +15,17 @@
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import { encodeDocument } from './peerService.js'
 
-const PUSH_SPAN_MS = 4000
+const PUSH_TIMEOUT_MS = 4000
 
-/** How far a node pushes what it learned at first hand. What was pushed to it goes on by the push's own route. */
+/** Push scope by the source of a configuration. One that was itself received by push is forwarded along that push's route. */
 const SCOPE_BY_SOURCE: Readonly<Record<Exclude<LearnSource, LearnSource.Push>, PushScope>> = {
-  // The other regions' watchers may be cut off from the store.
+  // Watchers in other regions may be disconnected from the store.
   [LearnSource.Operator]: PushScope.Global,
   [LearnSource.Store]: PushScope.Region,
   [LearnSource.Digest]: PushScope.Region
 }
 
-/** Hands new configurations on. */
+/** Pushes new configurations to peers. */
 export class DocumentSpreader implements IClosable {
   private readonly subscription: IClosable
 
@@ -60,9 +60,9 @@
   private async pushTo (nodeId: string, document: PeerDocument): Promise<void> {
     const member = this.members.get(nodeId)
     const address = member?.vm.peerAddress
-    // The child's digest may have told that it has the version by another way.
+    // The child may have announced in a digest that it already has the version.
     if (address === undefined || (member?.configurationVersion ?? 0) >= document.document.version) return
-    const pushed = await this.client.push(address, document, createDeadline(this.clock.now(), PUSH_SPAN_MS))
+    const pushed = await this.client.push(address, document, createDeadline(this.clock.now(), PUSH_TIMEOUT_MS))
     if (!pushed.ok) logError(this.logger, LogLevel.Info, pushed.val)
   }
 }
--- a/packages/daemon/src/node/peers/heartbeats.ts
+++ b/packages/daemon/src/node/peers/heartbeats.ts
@@ -1,6 +1,6 @@
 /**
- * Compares digests with a bounded number of neighbours, and fetches the
- * configuration from those ahead or hands it to those behind.
+ * Exchanges digests with a bounded number of neighbours, fetches newer documents
+ * from them and pushes documents to neighbours that have older ones.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -16,12 +16,12 @@
 import type { DocumentRegistry } from './documentRegistry.js'
 import { CONFIGURATION_DOCUMENT, decodeDocument, encodeDocument, type PeerService } from './peerService.js'
 
-const HEARTBEAT_JITTER = 0.2
-const CALL_DEADLINE_MS = 2000
+const HEARTBEAT_JITTER_RATIO = 0.2
+const CALL_TIMEOUT_MS = 2000
 
-/** The outgoing side of the conversation between daemons. */
+/** Sends this node's heartbeats to peers and processes their answers. */
 export class Heartbeats implements IClosable {
-  private readonly running = new Map<string, Promise<boolean>>()
+  private readonly pendingExchanges = new Map<string, Promise<boolean>>()
   private timer: ITimer | undefined
   private isClosed = false
 
@@ -37,33 +37,33 @@
     private readonly logger: ILogger
   ) {}
 
-  /** Speaks to its neighbours once, then again and again. */
+  /** Exchanges digests with the neighbours now and then periodically. */
   async start (): Promise<void> {
     await this.sendRound()
     this.scheduleRound()
   }
 
-  /** Speaks to this round's neighbours now; a peer out of reach delays nobody else. */
+  /** Exchanges digests with this round's neighbours concurrently, so that an unreachable peer doesn't delay the others. */
   async sendRound (): Promise<void> {
     if (this.isClosed) return
     const neighbours = this.chooseNeighbours()
     this.service.startRound()
-    this.members.updateSilence(neighbours.ring)
+    this.members.markSilentMembers(neighbours.ring)
     await Promise.all([...neighbours.ring, ...neighbours.random].map((nodeId) => this.sendTo(nodeId)))
-    if (this.members.list().length > SMALL_FLEET) this.closeChance(neighbours)
+    if (this.members.list().length > SMALL_FLEET) this.closeRandomNeighbours(neighbours)
   }
 
   /**
-   * Speaks now to nodes that need not be neighbours, as when this node leaves.
-   * @param nodeIds to whom
-   * @returns whether all have heard the state of now
+   * Exchanges digests with nodes that may not be neighbours, for example when this node leaves.
+   * @param nodeIds the nodes
+   * @returns whether all of them have received the current state
    */
   async sendToAll (nodeIds: readonly string[]): Promise<boolean> {
     if (this.isClosed) return false
-    // A digest with the beat of an earlier one would count as the same news.
+    // A digest with the beat of an earlier one would be ignored as already known.
     this.service.startRound()
-    const heard = await Promise.all(nodeIds.map((nodeId) => this.sendTo(nodeId)))
-    return heard.every(Boolean)
+    const delivered = await Promise.all(nodeIds.map((nodeId) => this.sendTo(nodeId)))
+    return delivered.every(Boolean)
   }
 
   close (): void {
@@ -78,56 +78,56 @@
 
   private async sendTo (nodeId: string): Promise<boolean> {
     const address = this.members.get(nodeId)?.vm.peerAddress
-    // A peer that hangs must not gather a call for every round.
-    if (address === undefined || this.running.has(nodeId)) return false
-    const sending = this.send(nodeId, address)
-    this.running.set(nodeId, sending)
+    // Calls to a peer that doesn't answer must not accumulate with every round.
+    if (address === undefined || this.pendingExchanges.has(nodeId)) return false
+    const exchange = this.exchange(nodeId, address)
+    this.pendingExchanges.set(nodeId, exchange)
     try {
-      return await sending
+      return await exchange
     } finally {
-      this.running.delete(nodeId)
+      this.pendingExchanges.delete(nodeId)
     }
   }
 
-  private async send (nodeId: string, address: string): Promise<boolean> {
+  private async exchange (nodeId: string, address: string): Promise<boolean> {
     const answer = await this.client.exchange(address, this.service.buildDigest(nodeId), this.createDeadline())
     if (this.isClosed) return false
     if (!answer.ok) {
       logError(this.logger, LogLevel.Debug, answer.val)
       return false
     }
-    const theirs = this.service.observe(answer.val, true)
+    const peerVersion = this.service.observe(answer.val, true)
     await this.exchangeDocuments(address, answer.val)
-    if (theirs > this.keeper.version) await this.fetchFrom(address)
-    else if (theirs < this.keeper.version) await this.pushTo(address)
+    if (peerVersion > this.keeper.version) await this.fetchConfiguration(address)
+    else if (peerVersion < this.keeper.version) await this.pushConfiguration(address)
     return true
   }
 
   /**
-   * Tells one node, neighbour or not, what this node measured by now.
-   * @param nodeId whom
-   * @returns whether it has heard it
+   * Sends this node's current measurements to a node, neighbour or not.
+   * @param nodeId the receiving node
+   * @returns whether it has received them
    */
   async reportTo (nodeId: string): Promise<boolean> {
-    // A call under way carries an older measurement than the one to be told.
-    await this.running.get(nodeId)?.catch(() => false)
+    // A call in flight contains older measurements.
+    await this.pendingExchanges.get(nodeId)?.catch(() => false)
     return !this.isClosed && await this.sendTo(nodeId)
   }
 
-  /** Asks all nodes of a small fleet for their digests, of a large one this round's neighbours. */
+  /** Exchanges digests with all nodes of a small fleet, or with this round's neighbours in a large one. */
   async exchangeWithAll (): Promise<void> {
     const others = this.members.list().filter(({ vm }) => vm.vmId !== this.self.nodeId)
     if (others.length > SMALL_FLEET) await this.sendRound()
     else await Promise.all(others.map(({ vm }) => this.sendTo(vm.vmId)))
   }
 
-  private async exchangeDocuments (address: string, theirs: Digest): Promise<void> {
-    for (const { name, aboveVersion } of this.registry.listWanted(theirs)) {
+  private async exchangeDocuments (address: string, remote: Digest): Promise<void> {
+    for (const { name, aboveVersion } of this.registry.listDocumentsToFetch(remote)) {
       const fetched = await this.client.fetch(address, name, aboveVersion, this.createDeadline())
       if (!fetched.ok) logError(this.logger, LogLevel.Warn, fetched.val)
       else if (fetched.val !== undefined) this.registry.apply(fetched.val, address)
     }
-    await Promise.all(this.registry.listLacking(theirs).map((document) => this.pushDocument(address, document)))
+    await Promise.all(this.registry.listDocumentsToPush(remote).map((document) => this.pushDocument(address, document)))
   }
 
   private async pushDocument (address: string, document: PeerDocument): Promise<void> {
@@ -135,21 +135,21 @@
     if (!pushed.ok) logError(this.logger, LogLevel.Debug, pushed.val)
   }
 
-  private async fetchFrom (address: string): Promise<void> {
+  private async fetchConfiguration (address: string): Promise<void> {
     const fetched = await this.client.fetch(address, CONFIGURATION_DOCUMENT, this.keeper.version, this.createDeadline())
     if (!fetched.ok) logError(this.logger, LogLevel.Warn, fetched.val)
     else if (fetched.val !== undefined) this.keeper.apply(decodeDocument(fetched.val), address, { source: LearnSource.Digest })
   }
 
-  private async pushTo (address: string): Promise<void> {
+  private async pushConfiguration (address: string): Promise<void> {
     const current = this.keeper.currentText
     if (current === undefined) return
     const pushed = await this.client.push(address, encodeDocument(current), this.createDeadline())
     if (!pushed.ok) logError(this.logger, LogLevel.Warn, pushed.val)
   }
 
-  /** Channels to neighbours met by chance would grow to one for every node of a large fleet. */
-  private closeChance (neighbours: Neighbours): void {
+  /** Closes channels to random neighbours; otherwise there would be one to every node of a large fleet in the end. */
+  private closeRandomNeighbours (neighbours: Neighbours): void {
     for (const nodeId of neighbours.random) {
       const address = this.members.get(nodeId)?.vm.peerAddress
       if (address !== undefined) this.client.closePeer(address)
@@ -157,15 +157,15 @@
   }
 
   private createDeadline (): number {
-    return createDeadline(this.clock.now(), CALL_DEADLINE_MS)
+    return createDeadline(this.clock.now(), CALL_TIMEOUT_MS)
   }
 
   private scheduleRound (): void {
     if (this.isClosed) return
-    const spanMs = computeRoundSpan(this.members.list().length)
-    const at = createDeadline(this.clock.now(), addJitter(this.random, spanMs, HEARTBEAT_JITTER))
+    const intervalMs = computeRoundSpan(this.members.list().length)
+    const at = createDeadline(this.clock.now(), addJitter(this.random, intervalMs, HEARTBEAT_JITTER_RATIO))
     this.timer = this.clock.schedule(at, () => {
-      // The next round does not wait for this one: a peer that hangs would slow the beat down.
+      // The next round doesn't wait for this one, so that a peer that doesn't answer can't delay heartbeats.
       runDetached(() => this.sendRound(), this.logger, 'send-heartbeats')
       this.scheduleRound()
     })
--- a/packages/daemon/src/node/peers/peerService.ts
+++ b/packages/daemon/src/node/peers/peerService.ts
@@ -1,6 +1,6 @@
 /**
- * This node's side of the conversation between daemons: heartbeats with the
- * versions each has, and the configuration handed on to whoever is behind.
+ * Serves peers' calls: exchanges heartbeats with the versions of documents that
+ * each node has, provides and accepts documents, and handles loans.
  */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { MemberReport } from '@umberspar/steering/common/membership/memberReport'
@@ -14,21 +14,21 @@
 import type { WorkerReports } from '../places/workerReports.js'
 import type { DocumentRegistry } from './documentRegistry.js'
 
-/** The name under which the configuration travels between daemons. */
+/** The document name of the configuration between daemons. */
 export const CONFIGURATION_DOCUMENT = 'configuration'
 
-/** Who this node is. */
+/** The identity of this node. */
 export interface NodeIdentity {
   readonly nodeId: string
   readonly region: string
   readonly failureDomain: string
-  /** Grows with every start, so that an old process's messages are told apart. */
+  /** Increases with every start, so that messages of an earlier process can be recognized. */
   readonly incarnation: number
 }
 
-/** Answers peers. */
+/** Answers peers' calls and builds this node's heartbeats. */
 export class PeerService implements IPeerService {
-  /** This node's state as peers are told it. */
+  /** The state that this node announces to peers. */
   state: AnnouncedState = NodeState.Joining
   private beat = 0
 
@@ -42,12 +42,12 @@
     private readonly clock: IClock
   ) {}
 
-  /** Begins a round: the next digest is a new sign of life. */
+  /** Begins a round, so that the next digest counts as a new heartbeat. */
   startRound (): void {
     this.beat += 1
   }
 
-  /** @returns the documents that this node has, with its versions of them */
+  /** @returns the documents that this node has, with their versions */
   listDocuments (): DocumentVersion[] {
     const head = this.keeper.current?.head
     const configuration = head === undefined ? [] : [{ name: CONFIGURATION_DOCUMENT, ...head }]
@@ -55,7 +55,7 @@
   }
 
   /**
-   * @param peerId whom it is for
+   * @param peerId the receiving peer
    * @returns this node's heartbeat
    */
   buildDigest (peerId: string): Digest {
@@ -72,16 +72,16 @@
   }
 
   /**
-   * Takes in a peer's heartbeat.
-   * @param digest what the peer said
+   * Records a peer's heartbeat.
+   * @param digest the heartbeat
    * @param isAnswer whether it answers a heartbeat of this node
    * @returns the configuration version that the peer has
    */
   observe (digest: Digest, isAnswer: boolean): number {
     this.limits.observe(digest, isAnswer)
     const version = digest.documents.find((document) => document.name === CONFIGURATION_DOCUMENT)?.version ?? 0
-    this.members.observeReports([toReport(digest), ...digest.members])
-    // Patches wait until this node has the highest version seen; a stranger's word must not stop them.
+    this.members.observeReports([toMemberReport(digest), ...digest.members])
+    // Patches wait until this node has the highest version seen; an unlisted node must not be able to block them.
     if (this.members.get(digest.nodeId) !== undefined) this.keeper.observePeer(version, digest.confirmedAt, this.clock.now())
     this.reports.observe(digest.workers)
     this.registry.observe(digest)
@@ -94,7 +94,7 @@
   }
 
   fetch (name: string, aboveVersion: number): PeerDocument | undefined {
-    if (name !== CONFIGURATION_DOCUMENT) return this.fetchOther(name, aboveVersion)
+    if (name !== CONFIGURATION_DOCUMENT) return this.fetchRegistered(name, aboveVersion)
     const current = this.keeper.currentText
     if (current === undefined) return undefined
     return current.head.version > aboveVersion ? encodeDocument(current) : undefined
@@ -114,24 +114,24 @@
     this.limits.settleReturn(loan)
   }
 
-  private fetchOther (name: string, aboveVersion: number): PeerDocument | undefined {
+  private fetchRegistered (name: string, aboveVersion: number): PeerDocument | undefined {
     const found = this.registry.get(name)
     return found !== undefined && found.document.version > aboveVersion ? found : undefined
   }
 }
 
-function toReport (digest: Digest): MemberReport {
+function toMemberReport (digest: Digest): MemberReport {
   const { nodeId, incarnation, beat, state, demand } = digest
-  // What concerns limits counts only from the node itself. Loans come and go with
-  // the traffic; relayed, each would make the report news to the whole fleet, and
-  // every heartbeat would carry all members.
+  // Documents on limits are valid only from the node itself. Loans change with the
+  // traffic; if they were relayed, each change would spread the report to the whole
+  // fleet, and every heartbeat would contain all members.
   const documents = digest.documents.filter(({ name }) => !isLimitDocument(name))
   return { nodeId, incarnation, beat, state, documents, demand, isSuspected: false }
 }
 
 /**
- * @param configuration head and text
- * @returns the form in which it travels
+ * @param configuration head and text of a configuration
+ * @returns the document that is sent to peers
  */
 export function encodeDocument (configuration: ConfigurationText): PeerDocument {
   return {
@@ -141,8 +141,8 @@
 }
 
 /**
- * @param document a configuration as it travelled
- * @returns head and text, not yet checked
+ * @param document a configuration from a peer
+ * @returns its head and text, not yet validated
  */
 export function decodeDocument (document: PeerDocument): ConfigurationText {
   const { version, changeId, digest } = document.document
--- a/packages/daemon/src/node/plan/drainPlanner.ts
+++ b/packages/daemon/src/node/plan/drainPlanner.ts
@@ -27,7 +27,7 @@
    * moved its traffic. A change that only cancels drains is always accepted.
    * @param current the configuration in force, if any
    * @param next the configuration that would result from a patch
-   * @returns the services whose demand would exceed the remaining capacity; empty if there are none
+   * @returns a problem for each service whose demand would exceed the remaining capacity
    */
   check (current: SteeringConfiguration | undefined, next: SteeringConfiguration): ConfigurationProblem[] {
     if (current === undefined || !hasMoreDrains(current, next)) return []
--- a/packages/daemon/src/node/plan/planDocuments.ts
+++ b/packages/daemon/src/node/plan/planDocuments.ts
@@ -22,19 +22,19 @@
   private newestOriginId: string | undefined
 
   constructor (
-    private readonly keeper: PlanKeeper,
+    private readonly plans: PlanKeeper,
     private readonly digester: Digester,
     private readonly logger: ILogger
   ) {}
 
   list (): DocumentVersion[] {
-    return [...this.keeper.listAgreedPlans().map((plan) => this.buildVersion(plan.service, plan.version)), ...this.listVersionsInForce()]
+    return [...this.plans.listAgreedPlans().map((plan) => this.buildVersion(plan.service, plan.version)), ...this.listVersionsInForce()]
   }
 
   /** @returns for each service, the agreed version that this node has reached; 0 if none */
   listVersionsInForce (): DocumentVersion[] {
-    return this.keeper.listServices().map((service) => ({
-      name: getInForceName(service), version: this.keeper.find(service)?.inForceVersion ?? 0, digest: '', changeId: NO_CHANGE_ID
+    return this.plans.listServices().map((service) => ({
+      name: getInForceName(service), version: this.plans.find(service)?.inForceVersion ?? 0, digest: '', changeId: NO_CHANGE_ID
     }))
   }
 
@@ -48,10 +48,10 @@
 
   shouldFetch ({ name, version }: DocumentVersion): boolean {
     const planService = parsePlanName(name)
-    if (planService !== undefined) return version > (this.keeper.findAgreed(planService)?.version ?? 0)
+    if (planService !== undefined) return version > (this.plans.findAgreed(planService)?.version ?? 0)
     const inForceService = parseInForceName(name)
     // Only a node that has no weights of its own yet adopts a peer's.
-    return inForceService !== undefined && version > 0 && this.keeper.find(inForceService) === undefined
+    return inForceService !== undefined && version > 0 && this.plans.find(inForceService) === undefined
   }
 
   shouldPush (local: DocumentVersion, remote: DocumentVersion | undefined): boolean {
@@ -79,7 +79,7 @@
     if (isNewPlan && received.route !== undefined) this.didReceivePush.fire(received)
     if (inForceService !== undefined) {
       const weights = parseWeights(text)
-      if (weights !== undefined) this.keeper.setInitialWeights(inForceService, weights)
+      if (weights !== undefined) this.plans.setInitialWeights(inForceService, weights)
     }
   }
 
@@ -90,18 +90,18 @@
       return false
     }
     // The store's watch often delivers the plan before the push does; the push then only tells who published it.
-    if (route !== undefined && plan.version >= (this.keeper.findAgreed(service)?.version ?? 0)) this.newestOriginId = route.originId
-    return this.keeper.accept(plan)
+    if (route !== undefined && plan.version >= (this.plans.findAgreed(service)?.version ?? 0)) this.newestOriginId = route.originId
+    return this.plans.accept(plan)
   }
 
   private getPlan (service: string): PeerDocument | undefined {
-    const plan = this.keeper.findAgreed(service)
+    const plan = this.plans.findAgreed(service)
     if (plan === undefined) return undefined
     return { document: this.buildVersion(service, plan.version), body: new TextEncoder().encode(encodeCanonical(plan)) }
   }
 
   private getWeightsInForce (service: string): PeerDocument | undefined {
-    const state = this.keeper.find(service)
+    const state = this.plans.find(service)
     if (state === undefined) return undefined
     const text = encodeCanonical(state.inForce)
     const document = { name: getInForceName(service), version: Math.max(1, state.inForceVersion), digest: this.digester.computeDigest(text), changeId: NO_CHANGE_ID }
@@ -112,7 +112,7 @@
     const name = getPlanName(service)
     const cached = this.digests.get(name)
     if (cached?.version === version) return { name, ...cached, changeId: NO_CHANGE_ID }
-    const plan = this.keeper.findAgreed(service)
+    const plan = this.plans.findAgreed(service)
     const digest = this.digester.computeDigest(plan === undefined ? '' : encodeCanonical(plan))
     this.digests.set(name, { version, digest })
     return { name, version, digest, changeId: NO_CHANGE_ID }
--- a/packages/daemon/src/node/plan/planHolder.ts
+++ b/packages/daemon/src/node/plan/planHolder.ts
@@ -164,12 +164,12 @@
   private async release (): Promise<void> {
     const planLease = this.planLease
     if (planLease === undefined) return
-    this.clearPlanLease('released it')
+    this.clearPlanLease('released by this node')
     await this.parts.store.release(planLease, this.createDeadline())
   }
 
   private clearPlanLease (reason: string): void {
-    this.parts.logger.log(LogLevel.Info, { step: 'hold-plan', epoch: this.planLease?.epoch }, `no longer holds the lease of the plan: ${reason}`)
+    this.parts.logger.log(LogLevel.Info, { step: 'hold-plan', epoch: this.planLease?.epoch }, `the lease of the plan has ended: ${reason}`)
     this.planLease = undefined
     this.storeRetryAt = undefined
     this.apply({ kind: PlannerEventKind.LeaseLost })
@@ -178,7 +178,7 @@
   private async runHolder (planLease: PlanLease): Promise<void> {
     const now = this.parts.clock.now()
     if (hasPassed(planLease.lease.deadline, now)) {
-      this.clearPlanLease('lease expired')
+      this.clearPlanLease('expired')
       return
     }
     if (hasPassed(this.nextRenewalAt, now)) {
@@ -197,7 +197,7 @@
     const renewed = await this.parts.store.renew(planLease, this.createDeadline())
     if (this.planLease?.epoch !== planLease.epoch) return
     if (!renewed.ok) logError(this.parts.logger, LogLevel.Warn, renewed.val)
-    else if (renewed.val === undefined) this.clearPlanLease('lease expired')
+    else if (renewed.val === undefined) this.clearPlanLease('expired')
     else {
       this.planLease = { ...this.planLease, lease: renewed.val }
       this.apply({ kind: PlannerEventKind.LeaseRenewed, deadline: renewed.val.deadline })
@@ -258,7 +258,7 @@
   /** A rejected write may mean that another node holds the lease now. */
   private async checkHolder (planLease: PlanLease): Promise<void> {
     const holder = await this.parts.store.readHolder(this.createDeadline())
-    if (holder.ok && holder.val !== planLease.holderRevision && this.planLease?.epoch === planLease.epoch) this.clearPlanLease('another node holds it')
+    if (holder.ok && holder.val !== planLease.holderRevision && this.planLease?.epoch === planLease.epoch) this.clearPlanLease('acquired by another node')
   }
 
   private async readPlan (service: string): Promise<void> {
