--- a/packages/daemon/src/node/limits/limitKeeper.ts
+++ b/packages/daemon/src/node/limits/limitKeeper.ts
@@ -54,10 +54,10 @@
 export class LimitKeeper implements IClosable, ShareSource {
   private readonly roster: Roster
   private readonly divisionTracker: PartKeeper
-  private readonly loans: LoanKeeper
+  private readonly loanBorrower: LoanKeeper
   private readonly lenders: LenderDirectory
   private readonly startedAt: Instant
-  private readonly barrier: StartBarrier
+  private readonly startBarrier: StartBarrier
   private wasListed = false
   private viewKey = ''
   /** Whether shares may have changed since they were last applied to the places. */
@@ -72,11 +72,11 @@
     this.roster = new Roster()
     this.divisionTracker = new PartKeeper(selfId)
     this.startedAt = clock.now()
-    this.barrier = new StartBarrier(this.startedAt)
+    this.startBarrier = new StartBarrier(this.startedAt)
     this.lenders = new LenderDirectory(selfId, members, parts.keeper)
-    this.loans = new LoanKeeper({ selfId, client, clock, random, logger, listLenders: (pool) => this.lenders.list(pool.key), applyChange: (pool) => this.applyLoans(pool) })
+    this.loanBorrower = new LoanKeeper({ selfId, client, clock, random, logger, listLenders: (pool) => this.lenders.list(pool.key), applyChange: (pool) => this.applyLoans(pool) })
     members.onDidRead((reading) => this.updateRoster(reading))
-    places.onDidRunOut((pool) => this.loans.borrow(pool))
+    places.onDidRunOut((pool) => this.loanBorrower.borrow(pool))
   }
 
   /** @returns whether this node has its shares, or has waited for them for the maximum time */
@@ -104,7 +104,7 @@
   /** Lends all idle slots from now on and borrows none. */
   leave (): void {
     this.isLeaving = true
-    this.loans.leave()
+    this.loanBorrower.leave()
   }
 
   /** @inheritdoc */
@@ -120,7 +120,7 @@
   /** @returns what peers are told: the acknowledged division, the lenders of this node's loans, and recently removed VMs */
   listDocuments (): DocumentVersion[] {
     // Slots lent by an earlier process of this node count as used until it is certain that no peer holds them.
-    const acknowledgedView = this.barrier.isOpen ? this.divisionTracker.findAcknowledged(this.computeUsage()) : undefined
+    const acknowledgedView = this.startBarrier.isOpen ? this.divisionTracker.findAcknowledged(this.computeUsage()) : undefined
     const lenderIds = this.parts.places.list().flatMap((pool) => pool.ledger.listBorrowed().map((loan) => loan.lenderId))
     return buildLimitDocuments({ acknowledgedView, lenderIds, listVersion: this.roster.listVersion, removed: this.roster.listGone() })
   }
@@ -162,17 +162,17 @@
   close (): void {
     this.isClosed = true
     this.timer?.close()
-    this.loans.close()
+    this.loanBorrower.close()
   }
 
   private recordPeerState ({ nodeId, documents }: Digest): void {
     const { holdsLoan, listVersion, removed } = findPeerLimitState(documents, this.parts.selfId)
-    this.barrier.observe({ nodeId, holdsLoan, listVersion })
-    if (!this.barrier.isOpen) this.roster.holdGone(removed, this.parts.clock.now())
+    this.startBarrier.observe({ nodeId, holdsLoan, listVersion })
+    if (!this.startBarrier.isOpen) this.roster.holdGone(removed, this.parts.clock.now())
   }
 
   private mayUseShares (): boolean {
-    return this.barrier.isOpen && this.roster.mayUseParts(this.parts.selfId, this.parts.clock.now())
+    return this.startBarrier.isOpen && this.roster.mayUseParts(this.parts.selfId, this.parts.clock.now())
   }
 
   private updateRoster (reading: VmListReading): void {
@@ -183,7 +183,7 @@
   private updateView (): void {
     const current = this.parts.keeper.current
     this.roster.step(this.parts.clock.now())
-    if (current === undefined || !this.barrier.isOpen) return
+    if (current === undefined || !this.startBarrier.isOpen) return
     const { selfId, region } = this.parts
     const { listVersion } = this.roster
     const { version, digest } = current.head
@@ -202,12 +202,12 @@
 
   private step (): void {
     const now = this.parts.clock.now()
-    this.updateBarrier(now)
+    this.updateStartBarrier(now)
     this.updateView()
     this.logListing(this.roster.mayUseParts(this.parts.selfId, now))
     if (this.hasShareChanged) this.applyShares()
     else this.applyExpiredLoans(now)
-    this.loans.step(this.parts.places.list())
+    this.loanBorrower.step(this.parts.places.list())
     this.exchangeWithPending()
   }
 
@@ -219,10 +219,10 @@
     this.parts.logger.log(isListed ? LogLevel.Info : LogLevel.Warn, { step: 'divide-limits' }, text)
   }
 
-  private updateBarrier (now: Instant): void {
-    const listed = this.parts.members.listPeers().map(({ vm }) => vm.vmId)
-    const peers = [...listed, ...this.roster.listGone().map(({ nodeId }) => nodeId)].filter((nodeId) => nodeId !== this.parts.selfId)
-    this.barrier.step(this.roster.listVersion, peers, now, this.roster.policy.holdSpanMs)
+  private updateStartBarrier (now: Instant): void {
+    const listedIds = this.parts.members.listPeers().map(({ vm }) => vm.vmId)
+    const peers = [...listedIds, ...this.roster.listGone().map(({ nodeId }) => nodeId)].filter((nodeId) => nodeId !== this.parts.selfId)
+    this.startBarrier.step(this.roster.listVersion, peers, now, this.roster.policy.holdSpanMs)
   }
 
   private applyExpiredLoans (now: Instant): void {
@@ -270,7 +270,7 @@
     const { buildDigest } = this
     if (this.isClosed || buildDigest === undefined) return
     const pendingIds = new Set(this.divisionTracker.listMissing())
-    const peers = this.parts.members.listPeers().filter(({ vm }) => pendingIds.has(vm.vmId) || this.barrier.isWaitingFor(vm.vmId))
+    const peers = this.parts.members.listPeers().filter(({ vm }) => pendingIds.has(vm.vmId) || this.startBarrier.isWaitingFor(vm.vmId))
     for (const { vm: { vmId, peerAddress } } of peers) {
       if (peerAddress !== undefined) runDetached(() => this.exchange(peerAddress, buildDigest(vmId)), this.parts.logger, 'exchange-acknowledgements')
     }
--- a/packages/daemon/src/node/limits/loanKeeper.ts
+++ b/packages/daemon/src/node/limits/loanKeeper.ts
@@ -136,7 +136,7 @@
     if (calls.length === 0) return
     round.isRunning = true
     runDetached(async () => {
-      const granted = await Promise.all(calls.map((ask) => this.borrowFrom(ask)))
+      const granted = await Promise.all(calls.map((call) => this.borrowFrom(call)))
       const hasBorrowed = granted.some((isGranted) => isGranted)
       pool.borrowState = hasBorrowed ? BorrowState.Possible : BorrowState.Refused
       round.isRunning = false
@@ -162,16 +162,16 @@
       this.refillAt = createDeadline(now, MS_PER_SECOND)
       this.remainingCalls = MAX_CALLS_PER_SECOND
     }
-    const taken = Math.min(count, this.remainingCalls)
-    this.remainingCalls -= taken
-    return taken
+    const grantedCalls = Math.min(count, this.remainingCalls)
+    this.remainingCalls -= grantedCalls
+    return grantedCalls
   }
 
   private async borrowFrom ({ pool, lender, slotKey, slots }: BorrowCall): Promise<boolean> {
     const { clock, client, selfId } = this.parts
     const now = clock.now()
-    const needed = Math.max(createDeadline(pool.latestDeadline, LOAN_MARGIN_MS), createDeadline(now, MIN_LOAN_MS))
-    const deadline = Math.min(needed, createDeadline(now, LONGEST_LOAN_SPAN_MS))
+    const neededUntil = Math.max(createDeadline(pool.latestDeadline, LOAN_MARGIN_MS), createDeadline(now, MIN_LOAN_MS))
+    const deadline = Math.min(neededUntil, createDeadline(now, LONGEST_LOAN_SPAN_MS))
     const request: LoanRequest = { borrowerId: selfId, loanId: randomUUID(), workerId: slotKey, slots, connections: slots * CONNECTIONS_PER_SLOT, deadline }
     const answer = await client.borrow(lender.address, request, createDeadline(now, CALL_TIMEOUT_MS))
     if (!answer.ok) {
@@ -207,9 +207,9 @@
         loan.isClosing = true
         this.parts.applyChange(pool)
       }
-      const usedAt = this.lastUsedAt.get(loan.loanId) ?? now
+      const lastUsedAt = this.lastUsedAt.get(loan.loanId) ?? now
       if (loan.inUse > 0) this.lastUsedAt.set(loan.loanId, now)
-      else if (this.isLeaving || loan.isClosing || hasPassed(createDeadline(usedAt, MAX_IDLE_MS), now)) this.returnLoan(pool, loan)
+      else if (this.isLeaving || loan.isClosing || hasPassed(createDeadline(lastUsedAt, MAX_IDLE_MS), now)) this.returnLoan(pool, loan)
     }
   }
 
--- a/packages/daemon/src/node/peers/documentRegistry.ts
+++ b/packages/daemon/src/node/peers/documentRegistry.ts
@@ -63,8 +63,8 @@
    */
   get (name: string): PeerDocument | undefined {
     for (const source of this.sources) {
-      const found = source.get(name)
-      if (found !== undefined) return found
+      const document = source.get(name)
+      if (document !== undefined) return document
     }
     return undefined
   }
--- a/packages/daemon/src/node/peers/heartbeats.ts
+++ b/packages/daemon/src/node/peers/heartbeats.ts
@@ -90,7 +90,7 @@
   }
 
   private async exchange (nodeId: string, address: string): Promise<boolean> {
-    const answer = await this.client.exchange(address, this.service.buildDigest(nodeId), this.createDeadline())
+    const answer = await this.client.exchange(address, this.service.buildDigest(nodeId), this.createCallDeadline())
     if (this.isClosed) return false
     if (!answer.ok) {
       logError(this.logger, LogLevel.Debug, answer.val)
@@ -123,7 +123,7 @@
 
   private async exchangeDocuments (address: string, remote: Digest): Promise<void> {
     for (const { name, aboveVersion } of this.registry.listDocumentsToFetch(remote)) {
-      const fetched = await this.client.fetch(address, name, aboveVersion, this.createDeadline())
+      const fetched = await this.client.fetch(address, name, aboveVersion, this.createCallDeadline())
       if (!fetched.ok) logError(this.logger, LogLevel.Warn, fetched.val)
       else if (fetched.val !== undefined) this.registry.apply(fetched.val, address)
     }
@@ -131,12 +131,12 @@
   }
 
   private async pushDocument (address: string, document: PeerDocument): Promise<void> {
-    const pushed = await this.client.push(address, document, this.createDeadline())
+    const pushed = await this.client.push(address, document, this.createCallDeadline())
     if (!pushed.ok) logError(this.logger, LogLevel.Debug, pushed.val)
   }
 
   private async fetchConfiguration (address: string): Promise<void> {
-    const fetched = await this.client.fetch(address, CONFIGURATION_DOCUMENT, this.keeper.version, this.createDeadline())
+    const fetched = await this.client.fetch(address, CONFIGURATION_DOCUMENT, this.keeper.version, this.createCallDeadline())
     if (!fetched.ok) logError(this.logger, LogLevel.Warn, fetched.val)
     else if (fetched.val !== undefined) this.keeper.apply(decodeDocument(fetched.val), address, { source: LearnSource.Digest })
   }
@@ -144,7 +144,7 @@
   private async pushConfiguration (address: string): Promise<void> {
     const current = this.keeper.currentText
     if (current === undefined) return
-    const pushed = await this.client.push(address, encodeDocument(current), this.createDeadline())
+    const pushed = await this.client.push(address, encodeDocument(current), this.createCallDeadline())
     if (!pushed.ok) logError(this.logger, LogLevel.Warn, pushed.val)
   }
 
@@ -156,7 +156,7 @@
     }
   }
 
-  private createDeadline (): number {
+  private createCallDeadline (): number {
     return createDeadline(this.clock.now(), CALL_TIMEOUT_MS)
   }
 
--- a/packages/daemon/src/node/peers/peerService.ts
+++ b/packages/daemon/src/node/peers/peerService.ts
@@ -115,8 +115,8 @@
   }
 
   private fetchRegistered (name: string, aboveVersion: number): PeerDocument | undefined {
-    const found = this.registry.get(name)
-    return found !== undefined && found.document.version > aboveVersion ? found : undefined
+    const document = this.registry.get(name)
+    return document !== undefined && document.document.version > aboveVersion ? document : undefined
   }
 }
 
--- a/packages/daemon/src/node/places/placePool.ts
+++ b/packages/daemon/src/node/places/placePool.ts
@@ -223,10 +223,10 @@
   private reserveSlot (request: SlotRequest, now: Instant): Result<{ workerId: string, slot: TakenSlot }, StepError> {
     if (request.signal.aborted) return new Err(this.createError(ErrorCode.Cancelled, 'the caller has disconnected'))
     if (hasPassed(request.deadline, now)) return new Err(this.createError(ErrorCode.DeadlinePassed, 'no slot became free in time'))
-    const until = createDeadline(request.deadline, LOAN_END_MARGIN_MS)
-    const candidates = this.listCandidates(until)
+    const minLoanDeadline = createDeadline(request.deadline, LOAN_END_MARGIN_MS)
+    const candidates = this.listCandidates(minLoanDeadline)
     const workerId = chooseWorker(candidates, now, this.random, request.excluded)
-    const slot = workerId === undefined ? undefined : this.ledger.take(this.getSlotKey(workerId), until)
+    const slot = workerId === undefined ? undefined : this.ledger.take(this.getSlotKey(workerId), minLoanDeadline)
     if (workerId === undefined || slot === undefined) {
       this.refusals++
       return new Err(new AdmissionError(this.placeName, 'no worker in this place can accept a request', NO_WORKER_RETRY_AFTER_MS))
@@ -236,8 +236,8 @@
     return new Err(new AdmissionError(this.placeName, 'no worker in this place can accept a request', NO_WORKER_RETRY_AFTER_MS))
   }
 
-  private listCandidates (until: Deadline): WorkerState[] {
-    return this.table.list().filter((worker) => this.ledger.countFree(this.getSlotKey(worker.workerId), until) > 0)
+  private listCandidates (minLoanDeadline: Deadline): WorkerState[] {
+    return this.table.list().filter((worker) => this.ledger.countFree(this.getSlotKey(worker.workerId), minLoanDeadline) > 0)
   }
 
   private findWorkerId (slotKey: string): string | undefined {
--- a/packages/daemon/src/node/places/planKeeper.ts
+++ b/packages/daemon/src/node/places/planKeeper.ts
@@ -196,7 +196,7 @@
     const now = this.clock.now()
     const stepTimes = unsettled.map((state) => createDeadline(Math.max(state.steppedAt, now - settleMs), settleMs))
     // A service whose step is overdue waits for another condition than time; it is checked again after the settle time.
-    const at = Math.min(...stepTimes.map((due) => due > now ? due : createDeadline(now, settleMs)))
+    const at = Math.min(...stepTimes.map((stepAt) => stepAt > now ? stepAt : createDeadline(now, settleMs)))
     this.timer = this.clock.schedule(at, () => this.step())
   }
 }
--- a/packages/daemon/src/node/places/workerReports.ts
+++ b/packages/daemon/src/node/places/workerReports.ts
@@ -228,8 +228,8 @@
   if (sent === undefined || isUrgent(report)) return true
   if (report.measuredAt <= sent.measuredAt) return false
   if (hasStateChanged(sent, report) || report.isProbed !== sent.isProbed) return true
-  const hasMoved = Math.abs(report.utilization - sent.utilization) >= MIN_UTILIZATION_CHANGE
-  return report.measuredAt - sent.measuredAt >= (hasMoved ? CHANGED_LOAD_INTERVAL_MS : UNCHANGED_LOAD_INTERVAL_MS)
+  const hasLoadChanged = Math.abs(report.utilization - sent.utilization) >= MIN_UTILIZATION_CHANGE
+  return report.measuredAt - sent.measuredAt >= (hasLoadChanged ? CHANGED_LOAD_INTERVAL_MS : UNCHANGED_LOAD_INTERVAL_MS)
 }
 
 function addToList<V> (map: Map<string, V[]>, key: string, value: V): void {
--- a/packages/daemon/src/node/plan/placeObserver.ts
+++ b/packages/daemon/src/node/plan/placeObserver.ts
@@ -54,10 +54,10 @@
 
   /** @param configuration the configuration whose workers are kept; the reports of all others are removed */
   removeUnknownWorkers (configuration: SteeringConfiguration): void {
-    const known = new Set(Object.values(configuration.services).flatMap(({ places }) =>
+    const configuredAddresses = new Set(Object.values(configuration.services).flatMap(({ places }) =>
       Object.values(places).flatMap(({ workers }) => Object.values(workers).map(({ address }) => address))))
     for (const address of this.statuses.keys()) {
-      if (!known.has(address)) this.statuses.delete(address)
+      if (!configuredAddresses.has(address)) this.statuses.delete(address)
     }
   }
 
@@ -71,8 +71,8 @@
   }
 
   private computeUtilization (addresses: readonly string[], now: Instant): number | undefined {
-    const fresh = addresses.flatMap((address) => this.statuses.get(address)?.report ?? []).filter((report) => now - report.measuredAt <= MAX_REPORT_AGE_MS)
-    if (fresh.length === 0) return undefined
-    return fresh.reduce((sum, report) => sum + report.utilization, 0) / fresh.length
+    const freshReports = addresses.flatMap((address) => this.statuses.get(address)?.report ?? []).filter((report) => now - report.measuredAt <= MAX_REPORT_AGE_MS)
+    if (freshReports.length === 0) return undefined
+    return freshReports.reduce((sum, report) => sum + report.utilization, 0) / freshReports.length
   }
 }
--- a/packages/daemon/src/node/plan/planHolder.ts
+++ b/packages/daemon/src/node/plan/planHolder.ts
@@ -46,7 +46,7 @@
   /** Whether this node serves requests; a node that is leaving gives up the lease. */
   readonly isLive: () => boolean
   /** Requests measurements from all peers. */
-  readonly measure: () => Promise<void>
+  readonly askForMeasurements: () => Promise<void>
   /** Pushes a service's newest plan to all peers. */
   readonly push: (service: string) => Promise<void>
 }
@@ -79,7 +79,7 @@
   /** Starts trying to acquire the lease while this node is a candidate. */
   start (): void {
     this.subscriptions.push(
-      this.parts.keeper.onDidAdopt(() => this.runSoon()),
+      this.parts.keeper.onDidAdopt(() => this.runWithoutDelay()),
       this.parts.collector.onDidReceive(() => this.runIfAwaitingReports())
     )
     this.schedule(ACQUIRE_INTERVAL_MS * this.parts.random.next())
@@ -92,9 +92,9 @@
     await this.release()
   }
 
-  private schedule (spanMs: number): void {
+  private schedule (delayMs: number): void {
     if (this.isClosed) return
-    this.timer = this.parts.clock.schedule(createDeadline(this.parts.clock.now(), spanMs), () => {
+    this.timer = this.parts.clock.schedule(createDeadline(this.parts.clock.now(), delayMs), () => {
       this.isRunning = true
       runDetached(() => this.runRound().finally(() => this.finishRound()), this.parts.logger, 'hold-plan')
     })
@@ -103,11 +103,11 @@
   private finishRound (): void {
     this.isRunning = false
     this.scheduleNext()
-    if (this.isRunPending) this.runSoon()
+    if (this.isRunPending) this.runWithoutDelay()
   }
 
   /** Runs a round without waiting for the next one, so that a drain begins immediately. */
-  private runSoon (): void {
+  private runWithoutDelay (): void {
     this.isRunPending = this.planLease !== undefined && this.isRunning
     if (this.planLease === undefined || this.isRunning) return
     this.timer?.close()
@@ -116,7 +116,7 @@
 
   /** Runs a round only if a report may allow a step; none does while all moving services are still settling. */
   private runIfAwaitingReports (): void {
-    if (isAwaitingReports(this.state, this.parts.clock.now())) this.runSoon()
+    if (isAwaitingReports(this.state, this.parts.clock.now())) this.runWithoutDelay()
   }
 
   private scheduleNext (): void {
@@ -141,14 +141,14 @@
   private async acquire (): Promise<void> {
     const { store, nodeId, logger, clock } = this.parts
     if (!this.isCandidate() || this.parts.keeper.current === undefined) return
-    const holder = await store.readHolder(this.createDeadline())
+    const holder = await store.readHolder(this.createStoreDeadline())
     if (!holder.ok || holder.val !== 0) return
-    const acquired = await store.acquire(nodeId, LEASE_TTL_SECONDS, this.createDeadline())
+    const acquired = await store.acquire(nodeId, LEASE_TTL_SECONDS, this.createStoreDeadline())
     if (!acquired.ok) logError(logger, LogLevel.Warn, acquired.val)
     if (!acquired.ok || acquired.val === undefined) return
-    const listed = await store.list(this.createDeadline())
+    const listed = await store.list(this.createStoreDeadline())
     if (!listed.ok || this.isClosed) {
-      await store.release(acquired.val, this.createDeadline())
+      await store.release(acquired.val, this.createStoreDeadline())
       return
     }
     this.planLease = acquired.val
@@ -158,21 +158,21 @@
     for (const document of documents) this.parts.plans.accept(document)
     logger.log(LogLevel.Info, { step: 'hold-plan', epoch: acquired.val.epoch }, 'acquired the lease of the plan')
     const wallOffsetMs = clock.getWallTime() - clock.now()
-    this.apply({ kind: PlannerEventKind.LeaseGained, epoch: acquired.val.epoch, deadline: acquired.val.lease.deadline, documents, wallOffsetMs })
+    this.applyEvent({ kind: PlannerEventKind.LeaseGained, epoch: acquired.val.epoch, deadline: acquired.val.lease.deadline, documents, wallOffsetMs })
   }
 
   private async release (): Promise<void> {
     const planLease = this.planLease
     if (planLease === undefined) return
     this.clearPlanLease('released by this node')
-    await this.parts.store.release(planLease, this.createDeadline())
+    await this.parts.store.release(planLease, this.createStoreDeadline())
   }
 
   private clearPlanLease (reason: string): void {
     this.parts.logger.log(LogLevel.Info, { step: 'hold-plan', epoch: this.planLease?.epoch }, `the lease of the plan has ended: ${reason}`)
     this.planLease = undefined
     this.storeRetryAt = undefined
-    this.apply({ kind: PlannerEventKind.LeaseLost })
+    this.applyEvent({ kind: PlannerEventKind.LeaseLost })
   }
 
   private async runHolder (planLease: PlanLease): Promise<void> {
@@ -187,39 +187,39 @@
     }
     if (this.storeRetryAt !== undefined && hasPassed(this.storeRetryAt, now)) {
       this.storeRetryAt = undefined
-      this.apply({ kind: PlannerEventKind.StoreUp })
+      this.applyEvent({ kind: PlannerEventKind.StoreUp })
     }
-    this.observe(now)
-    this.apply({ kind: PlannerEventKind.Tick })
+    this.updatePlanner(now)
+    this.applyEvent({ kind: PlannerEventKind.Tick })
   }
 
   private async renew (planLease: PlanLease): Promise<void> {
-    const renewed = await this.parts.store.renew(planLease, this.createDeadline())
+    const renewed = await this.parts.store.renew(planLease, this.createStoreDeadline())
     if (this.planLease?.epoch !== planLease.epoch) return
     if (!renewed.ok) logError(this.parts.logger, LogLevel.Warn, renewed.val)
     else if (renewed.val === undefined) this.clearPlanLease('expired')
     else {
       this.planLease = { ...this.planLease, lease: renewed.val }
-      this.apply({ kind: PlannerEventKind.LeaseRenewed, deadline: renewed.val.deadline })
+      this.applyEvent({ kind: PlannerEventKind.LeaseRenewed, deadline: renewed.val.deadline })
     }
   }
 
   /** Passes the current configuration, members, measurements and places to the planner. */
-  private observe (now: number): void {
+  private updatePlanner (now: number): void {
     const { collector, keeper } = this.parts
     const current = keeper.current
     if (current !== undefined && current.head.version !== this.state.configuration?.version) {
-      this.apply({ kind: PlannerEventKind.Configuration, version: current.head.version, body: current.body })
+      this.applyEvent({ kind: PlannerEventKind.Configuration, version: current.head.version, body: current.body })
     }
     collector.update()
-    this.apply({ kind: PlannerEventKind.Members, members: collector.measurements.members })
-    for (const measurement of collector.measurements.byNode.values()) this.apply({ kind: PlannerEventKind.Measured, measurement })
+    this.applyEvent({ kind: PlannerEventKind.Members, members: collector.measurements.members })
+    for (const measurement of collector.measurements.byNode.values()) this.applyEvent({ kind: PlannerEventKind.Measured, measurement })
     if (!hasPassed(this.nextPlacesUpdateAt, now)) return
     this.nextPlacesUpdateAt = createDeadline(now, PLACES_INTERVAL_MS)
-    this.apply({ kind: PlannerEventKind.Places, places: collector.places })
+    this.applyEvent({ kind: PlannerEventKind.Places, places: collector.places })
   }
 
-  private apply (event: PlannerEvent): void {
+  private applyEvent (event: PlannerEvent): void {
     const { state, effects } = stepPlanner(this.state, event, this.parts.clock.now())
     this.state = state
     for (const effect of effects) {
@@ -231,7 +231,7 @@
   private readonly handlers: Readonly<Record<PlannerEffectKind, EffectHandler>> = {
     [PlannerEffectKind.WritePlan]: (effect) => effect.kind === PlannerEffectKind.WritePlan ? this.writePlan(effect.document) : Promise.resolve(),
     [PlannerEffectKind.ReadPlan]: (effect) => effect.kind === PlannerEffectKind.ReadPlan ? this.readPlan(effect.service) : Promise.resolve(),
-    [PlannerEffectKind.Measure]: () => this.measure()
+    [PlannerEffectKind.Measure]: () => this.askForMeasurements()
   }
 
   private async writePlan (document: PlanDocument): Promise<void> {
@@ -239,34 +239,34 @@
     const planLease = this.planLease
     if (planLease === undefined) return
     const { service, version } = document
-    const known = this.revisions.get(service)
-    const baseRevision = known?.version === version - 1 ? known.modRevision : 0
-    const written = await store.write(document, baseRevision, planLease, this.createDeadline())
+    const lastRevision = this.revisions.get(service)
+    const baseRevision = lastRevision?.version === version - 1 ? lastRevision.modRevision : 0
+    const written = await store.write(document, baseRevision, planLease, this.createStoreDeadline())
     if (written.ok && written.val !== undefined) {
       this.recordRevision(document, written.val)
       logger.log(LogLevel.Info, { step: 'write-plan', service, version, epoch: document.epoch }, 'wrote a new version of the plan')
-      this.apply({ kind: PlannerEventKind.PlanSeen, document })
+      this.applyEvent({ kind: PlannerEventKind.PlanSeen, document })
       plans.accept(document)
       await this.parts.push(service)
       return
     }
     if (!written.ok) logError(logger, LogLevel.Warn, written.val)
     else await this.checkHolder(planLease)
-    if (this.planLease?.epoch === planLease.epoch) this.apply({ kind: PlannerEventKind.WriteFailed, service })
+    if (this.planLease?.epoch === planLease.epoch) this.applyEvent({ kind: PlannerEventKind.WriteFailed, service })
   }
 
   /** A rejected write may mean that another node holds the lease now. */
   private async checkHolder (planLease: PlanLease): Promise<void> {
-    const holder = await this.parts.store.readHolder(this.createDeadline())
+    const holder = await this.parts.store.readHolder(this.createStoreDeadline())
     if (holder.ok && holder.val !== planLease.holderRevision && this.planLease?.epoch === planLease.epoch) this.clearPlanLease('acquired by another node')
   }
 
   private async readPlan (service: string): Promise<void> {
-    const read = await this.parts.store.read(service, this.createDeadline())
+    const read = await this.parts.store.read(service, this.createStoreDeadline())
     if (!read.ok) {
       logError(this.parts.logger, LogLevel.Warn, read.val)
       this.storeRetryAt = createDeadline(this.parts.clock.now(), STORE_RETRY_DELAY_MS)
-      this.apply({ kind: PlannerEventKind.StoreDown })
+      this.applyEvent({ kind: PlannerEventKind.StoreDown })
       return
     }
     if (read.val === undefined) {
@@ -276,22 +276,22 @@
     }
     const { document, modRevision } = read.val
     this.recordRevision(document, modRevision)
-    this.apply({ kind: PlannerEventKind.PlanSeen, document })
+    this.applyEvent({ kind: PlannerEventKind.PlanSeen, document })
     this.parts.plans.accept(document)
   }
 
-  private async measure (): Promise<void> {
+  private async askForMeasurements (): Promise<void> {
     if (!hasPassed(this.nextMeasurementAt, this.parts.clock.now())) return
     this.nextMeasurementAt = createDeadline(this.parts.clock.now(), MIN_MEASURE_INTERVAL_MS)
     // A new exchange may start while this one still waits for a peer that doesn't answer.
-    await this.parts.measure()
+    await this.parts.askForMeasurements()
   }
 
   private recordRevision (document: PlanDocument, modRevision: number): void {
     this.revisions.set(document.service, { version: document.version, modRevision })
   }
 
-  private createDeadline (): Deadline {
+  private createStoreDeadline (): Deadline {
     return createDeadline(this.parts.clock.now(), STORE_TIMEOUT_MS)
   }
 }
--- a/packages/daemon/src/node/plan/planParts.ts
+++ b/packages/daemon/src/node/plan/planParts.ts
@@ -85,7 +85,7 @@
     random,
     logger,
     isLive: () => peerService.state === NodeState.Live,
-    measure: () => heartbeats.exchangeWithAll(),
+    askForMeasurements: () => heartbeats.exchangeWithAll(),
     push: (service) => publisher.publish(service)
   }))
   const drainPlanner = new DrainPlanner(plans, collector)
--- a/packages/daemon/test/node/places/workerReports.test.ts
+++ b/packages/daemon/test/node/places/workerReports.test.ts
@@ -29,12 +29,12 @@
 class FakeWorkers implements Pick<IUpstreamTransport, 'probe'> {
   readonly draining = new Set<string>()
   readonly broken = new Set<string>()
-  health = 0
-  load = 0
+  healthProbes = 0
+  loadProbes = 0
 
   async probe (address: string, _deadline: number, scope: ProbeScope): ReturnType<IUpstreamTransport['probe']> {
-    this.health++
-    if (scope === ProbeScope.HealthAndLoad) this.load++
+    this.healthProbes++
+    if (scope === ProbeScope.HealthAndLoad) this.loadProbes++
     if (this.broken.has(address)) return new Err(new StepError({ code: ErrorCode.Unavailable, step: 'probe', peer: address, message: 'reset' }))
     const isDraining = this.draining.has(address)
     const probe: WorkerProbe = { isHealthy: !isDraining, isDraining, isStarting: false, load: scope === ProbeScope.Health ? undefined : { utilization: 0.5, inFlight: 2 } }
@@ -53,16 +53,16 @@
   return `10.0.0.${index + 1}:80`
 }
 
-function buildNode (id: string, holders: readonly string[], workers: FakeWorkers, clock: IClock, seed: number): Node {
+function buildNode (id: string, shareHolders: readonly string[], workers: FakeWorkers, clock: IClock, seed: number): Node {
   const pool = new PlacePool({ service: 's', failureDomain: 'd' }, clock, new SeededRandom(seed), 1000)
   const configured = Object.fromEntries(Array.from({ length: WORKERS }, (_, index) => [`w${index}`, { address: getAddress(index), slots: 4, connections: 8 }]))
   pool.updateWorkers({ workers: configured })
   pool.update(new Map(Object.keys(configured).map((worker) => [pool.getSlotKey(worker), { slots: 1, connections: 2 }])), Infinity, 10)
-  const known: PlaceWorker[] = Object.entries(configured).map(([workerId, worker]) => ({ workerId, address: worker.address, pool, shareHolders: holders }))
+  const placeWorkers: PlaceWorker[] = Object.entries(configured).map(([workerId, worker]) => ({ workerId, address: worker.address, pool, shareHolders }))
   const reports = new WorkerReports(id, clock)
   const prober = new WorkerProber(id, workers as never, reports, clock, new SeededRandom(seed), NULL_LOGGER)
-  reports.update(known)
-  prober.update(known)
+  reports.update(placeWorkers)
+  prober.update(placeWorkers)
   return { id, pool, reports, prober }
 }
 
@@ -98,11 +98,11 @@
       }
     }
     await run(clock, nodes, 2000, 600, observeAnswers)
-    const before = workers.health
+    const before = workers.healthProbes
     await run(clock, nodes, 10_000, 600, observeAnswers)
-    const perWorkerSecond = (workers.health - before) / WORKERS / 10
+    const perWorkerSecond = (workers.healthProbes - before) / WORKERS / 10
     assert.ok(perWorkerSecond <= 2.2, `${perWorkerSecond} probes per second and worker`)
-    assert.ok(workers.load <= 2 * WORKERS, 'probed for loads that answers had already reported')
+    assert.ok(workers.loadProbes <= 2 * WORKERS, 'probed for loads that answers had already reported')
     for (let index = 0; index < WORKERS; index++) workers.draining.add(getAddress(index))
     await run(clock, nodes, 2000, 600, observeAnswers)
     const isDrainedEverywhere = nodes.every(({ pool }) => pool.table.list().every(({ isDraining }) => isDraining))
@@ -138,8 +138,8 @@
   it('reach a peer that has a share of one worker and borrows slots of another', () => {
     const clock = new TickedClock()
     const lender = buildNode('e1', ['e1', 'e2'], new FakeWorkers(), clock, SEED)
-    const known = Array.from({ length: 2 }, (_, index): PlaceWorker => ({ workerId: `w${index}`, address: getAddress(index), pool: lender.pool, shareHolders: index === 0 ? ['e1', 'e2'] : ['e1'] }))
-    lender.reports.update(known)
+    const placeWorkers = Array.from({ length: 2 }, (_, index): PlaceWorker => ({ workerId: `w${index}`, address: getAddress(index), pool: lender.pool, shareHolders: index === 0 ? ['e1', 'e2'] : ['e1'] }))
+    lender.reports.update(placeWorkers)
     lender.pool.ledger.lend({ borrowerId: 'e2', loanId: 'l', workerId: lender.pool.getSlotKey('w1'), slots: 1, connections: 1, deadline: 30_000 }, clock.now(), 0)
     lender.reports.record({ workerId: getAddress(1), utilization: 0, inFlight: 0, measuredAt: clock.now(), isDraining: true, isHealthy: false, isStarting: false, isProbed: true, hasLoad: false })
     assert.deepEqual(lender.reports.listFor('e2').filter(({ isDraining }) => isDraining).map(({ workerId }) => workerId), [getAddress(1)])
@@ -161,10 +161,10 @@
     const node = buildNode('e1', ['e1', 'e2'], new FakeWorkers(), clock, SEED)
     for (let index = 0; index < WORKERS; index++) node.pool.table.observeLoad(`w${index}`, { utilization: 0.5, takenAt: 0 })
     assert.deepEqual(node.reports.listFor('e3'), [])
-    const told = node.reports.listFor('e2')
-    assert.equal(told.length, 32)
-    assert.ok(told.every(({ isProbed, hasLoad, utilization }) => !isProbed && hasLoad && utilization === 0.5))
-    assert.equal(new Set([...told, ...node.reports.listFor('e2')].map(({ workerId }) => workerId)).size, WORKERS)
+    const sent = node.reports.listFor('e2')
+    assert.equal(sent.length, 32)
+    assert.ok(sent.every(({ isProbed, hasLoad, utilization }) => !isProbed && hasLoad && utilization === 0.5))
+    assert.equal(new Set([...sent, ...node.reports.listFor('e2')].map(({ workerId }) => workerId)).size, WORKERS)
     assert.deepEqual(node.reports.listFor('e2'), [])
     node.pool.table.markDraining('w3', true, 0)
     assert.deepEqual([node.reports.listFor('e2'), node.reports.listFor('e2')].map((list) => list.map(({ workerId }) => workerId)), [[getAddress(3)], [getAddress(3)]])
