--- a/packages/daemon/src/node/plan/planPublisher.ts
+++ b/packages/daemon/src/node/plan/planPublisher.ts
@@ -52,7 +52,7 @@
     await Promise.all(targets.map((nodeId) => this.pushTo(nodeId, document)))
   }
 
-  /** In a small fleet the holder pushes to all nodes itself, as each hop of the tree would delay every step. */
+  /** In a fleet of up to 32 nodes, {@link SMALL_FLEET}, the holder pushes to all nodes itself, as each hop of the tree would delay every step. */
   private chooseTargets (route: PushRoute): string[] {
     const nodes = this.members.listActive()
     if (nodes.length > SMALL_FLEET) return choosePushTargets(nodes, this.self, route)
