--- a/packages/daemon/src/node/callers/callerServer.ts
+++ b/packages/daemon/src/node/callers/callerServer.ts
@@ -1,4 +1,4 @@
-/** The callers' listener: look-ups and requests. */
+/** Routes of the callers' listener: look-ups and requests. */
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http'
 import polka from 'polka'
 import type { LookupHandler } from './lookupHandler.js'
@@ -6,8 +6,8 @@
 
 /**
  * @param lookups answers look-ups
- * @param requests carries requests
- * @returns a listener for an HTTP server
+ * @param requests forwards requests to upstreams
+ * @returns a request listener for an HTTP server
  */
 export function buildCallerApp (lookups: LookupHandler, requests: RequestHandler): RequestListener {
   const app = polka({
--- a/packages/daemon/src/node/callers/clientBlockBuilder.ts
+++ b/packages/daemon/src/node/callers/clientBlockBuilder.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the table of client blocks in line with the configuration. A build of
- * 150,000 blocks takes a tenth of a second and more; done at one go it would
- * hold up every open request, so it runs in slices with the loop in between,
- * and the table before serves until the new one is whole.
+ * Rebuilds the table of client blocks when the configuration changes. Building
+ * 150,000 blocks takes 100 ms or more and would delay every open request if done
+ * synchronously. So it runs in slices that yield to the event loop, and the
+ * previous table stays in use until the new one is complete.
  */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -13,61 +13,61 @@
 import { ClientBlockTable } from '@umberspar/steering/common/lookup/clientBlocks'
 import { setImmediate as yieldToLoop } from 'node:timers/promises'
 
-/** How long a build may hold the loop at a stretch; a slice that is begun is finished, about 1 ms more. */
-const STRETCH_SPAN_MS = 3
+/** How long a build may block the event loop. The last slice is finished, which takes up to about 1 ms more. */
+const MAX_BLOCKING_MS = 3
 
-/** Builds tables, the newest wanted one last. */
+/** Builds tables in the background, always ending with the most recent groups. */
 export class ClientBlockBuilder implements IClosable {
   private current = ClientBlockTable.build([])
-  private wanted: readonly ClientBlockGroup[] | undefined
+  private pendingGroups: readonly ClientBlockGroup[] | undefined
   private isBuilding = false
   private isClosed = false
 
   /**
-   * @param clock measures the stretches
-   * @param logger for a build that fails
-   * @param waitForLoop lets other work of the loop run; resolves when it has
+   * @param clock measures how long the event loop is blocked
+   * @param logger logs failed builds
+   * @param waitForEventLoop yields to the event loop; resolves when other tasks have run
    */
   constructor (
     private readonly clock: IClock,
     private readonly logger: ILogger,
-    private readonly waitForLoop: () => Promise<unknown> = yieldToLoop
+    private readonly waitForEventLoop: () => Promise<unknown> = yieldToLoop
   ) {}
 
-  /** @returns the table in use; empty before the first build */
+  /** @returns the table in use, empty before the first build */
   get table (): ClientBlockTable {
     return this.current
   }
 
-  /** @returns whether the table in use is that of the groups set last */
+  /** @returns whether the table in use was built from the most recent groups */
   get isCurrent (): boolean {
-    return !this.isBuilding && this.wanted === undefined
+    return !this.isBuilding && this.pendingGroups === undefined
   }
 
   /**
-   * Sets what the table is to be built from. Few blocks are built before this
-   * returns. A build that runs is finished first: were it given up for each newer
-   * one, changes that come faster than builds end would keep the oldest table in use.
+   * Rebuilds the table from new groups. A small table is built before this returns.
+   * A build in progress is finished first: if each change aborted it, changes that
+   * come faster than a build takes would keep an old table in use indefinitely.
    * @param groups all groups with their prefixes
    */
   update (groups: readonly ClientBlockGroup[]): void {
-    this.wanted = groups
+    this.pendingGroups = groups
     if (this.isBuilding) return
     this.isBuilding = true
-    runDetached(() => this.buildWanted(), this.logger, 'build-client-blocks')
+    runDetached(() => this.buildPending(), this.logger, 'build-client-blocks')
   }
 
   close (): void {
     this.isClosed = true
   }
 
-  private async buildWanted (): Promise<void> {
+  private async buildPending (): Promise<void> {
     try {
-      for (let groups = this.wanted; groups !== undefined && !this.isClosed; groups = this.wanted) {
-        this.wanted = undefined
+      for (let groups = this.pendingGroups; groups !== undefined && !this.isClosed; groups = this.pendingGroups) {
+        this.pendingGroups = undefined
         const work = ClientBlockTable.buildInSlices(groups, this.current)
-        while (!this.runStretch(work)) {
-          await this.waitForLoop()
+        while (!this.runSlices(work)) {
+          await this.waitForEventLoop()
           if (this.isClosed) return
         }
       }
@@ -76,16 +76,16 @@
     }
   }
 
-  /** Runs slices for a while; returns whether the table is done and in use. */
-  private runStretch (work: Generator<void, ClientBlockTable>): boolean {
-    const end = createDeadline(this.clock.now(), STRETCH_SPAN_MS)
+  /** Runs slices until the time limit; returns whether the table is complete and in use. */
+  private runSlices (work: Generator<void, ClientBlockTable>): boolean {
+    const deadline = createDeadline(this.clock.now(), MAX_BLOCKING_MS)
     do {
       const next = work.next()
       if (next.done === true) {
         this.current = next.value
         return true
       }
-    } while (!hasPassed(end, this.clock.now()))
+    } while (!hasPassed(deadline, this.clock.now()))
     return false
   }
 }
--- a/packages/daemon/src/node/callers/clientRegions.ts
+++ b/packages/daemon/src/node/callers/clientRegions.ts
@@ -1,36 +1,36 @@
-/** Finds the region a caller belongs to by its address. */
+/** Determines a caller's region by its address. */
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import type { IncomingMessage } from 'node:http'
 import type { ClientBlockBuilder } from './clientBlockBuilder.js'
-import { toPlainAddress, TrustedForwarders } from './forwardedFor.js'
+import { toNormalizedAddress, TrustedForwarders } from './forwardedFor.js'
 
-/** Client addresses and their regions. */
+/** Maps client addresses to regions. */
 export class ClientRegions {
-  private readonly trusted: TrustedForwarders
+  private readonly trustedForwarders: TrustedForwarders
   private regions: ReadonlySet<string> = new Set()
 
   /**
-   * @param trustedForwarders CIDR blocks whose X-Forwarded-For is believed
-   * @param ownRegion the region of callers that stand in no block
+   * @param trustedForwarders CIDR blocks of proxies whose X-Forwarded-For is trusted
+   * @param defaultRegion the region of callers that are in no client block
    * @param blocks builds the table of client blocks
    */
   constructor (
     trustedForwarders: readonly string[],
-    private readonly ownRegion: string,
+    private readonly defaultRegion: string,
     private readonly blocks: ClientBlockBuilder
   ) {
-    this.trusted = new TrustedForwarders(trustedForwarders)
+    this.trustedForwarders = new TrustedForwarders(trustedForwarders)
   }
 
-  /** @returns whether the client blocks in use are those of the configuration in force */
+  /** @returns whether the client blocks in use are those of the current configuration */
   get isCurrent (): boolean {
     return this.blocks.isCurrent
   }
 
   /**
-   * Takes over the client blocks of a configuration. Until the table of many
-   * blocks is built, callers are found by the one before.
-   * @param configuration the configuration in force
+   * Applies the client blocks of a configuration. Until a large table is built, the
+   * previous one stays in use.
+   * @param configuration the current configuration
    */
   update (configuration: SteeringConfiguration): void {
     this.regions = new Set(Object.keys(configuration.regions))
@@ -42,23 +42,23 @@
    * @returns the caller's address
    */
   getAddress (request: IncomingMessage): string {
-    return this.trusted.findClient(request.socket.remoteAddress ?? '', getForwarded(request))
+    return this.trustedForwarders.findClient(request.socket.remoteAddress ?? '', getForwardedForHeader(request))
   }
 
   /**
    * @param request a caller's request
-   * @returns X-Forwarded-For as the upstream is to see it
+   * @returns the value of X-Forwarded-For for the upstream
    */
   buildForwardedFor (request: IncomingMessage): string {
-    return this.trusted.buildHeader(request.socket.remoteAddress ?? '', getForwarded(request))
+    return this.trustedForwarders.buildHeader(request.socket.remoteAddress ?? '', getForwardedForHeader(request))
   }
 
   /**
-   * @param address of a socket
-   * @returns whether it is a configured forwarder, which carries many clients
+   * @param address a socket's remote address
+   * @returns whether it is a configured forwarder, which carries the connections of many clients
    */
   isForwarder (address: string): boolean {
-    return this.trusted.has(toPlainAddress(address))
+    return this.trustedForwarders.isForwarder(toNormalizedAddress(address))
   }
 
   /**
@@ -67,13 +67,13 @@
    */
   find (request: IncomingMessage): string {
     const region = this.blocks.table.find(this.getAddress(request))
-    // A table that is not replaced yet may name a region that the configuration
-    // in force no longer has; look-ups know nothing of it and would answer 404.
-    return region !== undefined && this.regions.has(region) ? region : this.ownRegion
+    // A table that isn't replaced yet may name a region that the current configuration
+    // no longer has. Look-ups don't know that region and would answer 404.
+    return region !== undefined && this.regions.has(region) ? region : this.defaultRegion
   }
 }
 
-function getForwarded (request: IncomingMessage): string | undefined {
+function getForwardedForHeader (request: IncomingMessage): string | undefined {
   const value = request.headers['x-forwarded-for']
   return Array.isArray(value) ? value.join(', ') : value
 }
--- a/packages/daemon/src/node/callers/requestHandler.ts
+++ b/packages/daemon/src/node/callers/requestHandler.ts
@@ -1,4 +1,4 @@
-/** Handles `ANY /v1/services/S/...`: the caller's request, streamed both ways. */
+/** Handles `ANY /v1/services/S/...`: forwards the caller's request to an upstream and streams the response back. */
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import type { IClock } from '@umberspar/base/common/clock'
@@ -18,38 +18,38 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { pipeline } from 'node:stream/promises'
 import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
-import { type Deduplicator, KEY_HEADER } from '../dedup/deduplicator.js'
+import { type Deduplicator, IDEMPOTENCY_KEY_HEADER } from '../dedup/deduplicator.js'
 import { readBody, type RequestBody } from '../request/requestBody.js'
 import type { RequestContext } from '../request/requestContext.js'
 import type { DemandMeter } from '../plan/demandMeter.js'
-import { AnswerEnd, type RequestFailure, type RunningAnswer } from '../request/requestEnds.js'
+import { ResponseEnd, type RequestFailure, type PendingResponse } from '../request/requestResult.js'
 import type { RequestRunner } from '../request/requestRunner.js'
 import type { ClientRegions } from './clientRegions.js'
-import { answerProblem, type ProblemExtras } from './problem.js'
+import { sendProblem, type ProblemExtras } from './sendProblem.js'
 
 const SERVICES_PREFIX = '/v1/services/'
-const SERVER_ERROR = 500
+const MIN_SERVER_ERROR_STATUS = 500
 /**
- * The most that `umberspar-timeout-ms` gives, in milliseconds, unless the service's
- * own `answerWithinMs` is longer: a caller must not hold a slot for days.
+ * The maximum of `umberspar-timeout-ms`, unless the service's own `answerWithinMs`
+ * is longer: a caller must not occupy a slot for days.
  */
-const MAX_ANSWER_SPAN = 600_000
+const MAX_TIMEOUT_MS = 600_000
 
-/** What the outcome table says where nothing was sent to any upstream. */
-const UNSENT = classifyExchange(SentState.Nothing, AnswerState.Nothing)
+/** The outcome of a request of which nothing was sent to any upstream. */
+const UNSENT_OUTCOME = classifyExchange(SentState.Nothing, AnswerState.Nothing)
 
-/** Told while no configuration is in force, which a starting daemon has within seconds. */
-const NOT_READY: ProblemExtras = { kind: ProblemKind.NotReady, retryAfterSeconds: 1 }
+/** Sent while there is no configuration. A starting daemon has one within seconds. */
+const NOT_READY_PROBLEM: ProblemExtras = { kind: ProblemKind.NotReady, retryAfterSeconds: 1 }
 
-/** The column of the outcome table for each way an answer's body can end. */
-const STATE_BY_END: Readonly<Record<AnswerEnd, AnswerState>> = {
-  [AnswerEnd.Whole]: AnswerState.Whole,
-  [AnswerEnd.Broken]: AnswerState.Broken,
-  [AnswerEnd.CallerLeft]: AnswerState.Abandoned
+/** The column of the outcome table for each way a response body can end. */
+const ANSWER_STATE_BY_END: Readonly<Record<ResponseEnd, AnswerState>> = {
+  [ResponseEnd.Complete]: AnswerState.Whole,
+  [ResponseEnd.Broken]: AnswerState.Broken,
+  [ResponseEnd.CallerDisconnected]: AnswerState.Abandoned
 }
 
-/** What the handler works with. */
-export interface RequestHandlerParts {
+/** The services that the handler uses. */
+export interface RequestHandlerDependencies {
   readonly keeper: ConfigurationKeeper
   readonly runner: RequestRunner
   readonly deduplicator: Deduplicator
@@ -61,57 +61,57 @@
   readonly metrics: IMetrics
 }
 
-/** Where a request goes, read from its URL. */
+/** A request's service and path, parsed from its URL. */
 interface Target {
   readonly service: string
   readonly path: string
 }
 
-/** Turns HTTP requests into runs and runs into HTTP answers. */
+/** Runs HTTP requests on upstreams and sends the upstreams' responses to the callers. */
 export class RequestHandler {
-  private open = 0
+  private openRequests = 0
 
-  constructor (private readonly parts: RequestHandlerParts) {}
+  constructor (private readonly dependencies: RequestHandlerDependencies) {}
 
-  /** @returns requests that are being served now */
+  /** @returns the number of requests in flight */
   get inFlight (): number {
-    return this.open
+    return this.openRequests
   }
 
   /**
-   * Serves one request to its end.
+   * Handles one request until its response has ended.
    * @param request the caller's request
-   * @param response its response
+   * @param response the response to write
    */
   async handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const startedAt = this.parts.clock.now()
+    const startedAt = this.dependencies.clock.now()
     const requestId = getHeader(request, 'umberspar-request-id') ?? randomUUID()
-    const gone = new AbortController()
-    response.once('close', () => { if (!response.writableFinished) gone.abort() })
-    const context = this.createContext(request, requestId, gone.signal)
+    const disconnected = new AbortController()
+    response.once('close', () => { if (!response.writableFinished) disconnected.abort() })
+    const context = this.createContext(request, requestId, disconnected.signal)
     if (context instanceof StepError) {
       const isNotReady = context.code === ErrorCode.Unavailable
-      answerProblem(response, context, UNSENT, requestId, isNotReady ? NOT_READY : {})
+      sendProblem(response, context, UNSENT_OUTCOME, requestId, isNotReady ? NOT_READY_PROBLEM : {})
       return
     }
-    this.open++
+    this.openRequests++
     try {
       const isGood = await this.serve(context, request, response)
       this.record(context, isGood, startedAt)
     } finally {
-      this.open--
+      this.openRequests--
     }
   }
 
   private async serve (context: RequestContext, request: IncomingMessage, response: ServerResponse): Promise<boolean> {
-    const body = await readBody(request, context.deadline, this.parts.clock)
+    const body = await readBody(request, context.deadline, this.dependencies.clock)
     if (!body.ok) {
-      // The rest of the body may still come; it must not be read as a next request.
+      // The rest of the body may still arrive and must not be parsed as the next request.
       response.setHeader('Connection', 'close')
-      answerProblem(response, body.val, UNSENT, context.requestId)
+      sendProblem(response, body.val, UNSENT_OUTCOME, context.requestId)
       return true
     }
-    const finishMeasuring = this.parts.demand.start(context.service, context.clientRegion)
+    const finishMeasuring = this.dependencies.demand.start(context.service, context.clientRegion)
     try {
       return await this.runRequest(context, request, body.val, response)
     } finally {
@@ -120,129 +120,129 @@
   }
 
   private async runRequest (context: RequestContext, request: IncomingMessage, body: RequestBody, response: ServerResponse): Promise<boolean> {
-    const claimed = await this.parts.deduplicator.claim(context, getHeader(request, KEY_HEADER))
-    if (!claimed.ok) {
-      const { error, outcome, ...extras } = claimed.val
-      this.logRefusal(context, error, outcome)
-      answerProblem(response, error, outcome, context.requestId, extras)
+    const claimResult = await this.dependencies.deduplicator.claim(context, getHeader(request, IDEMPOTENCY_KEY_HEADER))
+    if (!claimResult.ok) {
+      const { error, outcome, ...extras } = claimResult.val
+      this.logFailure(context, error, outcome)
+      sendProblem(response, error, outcome, context.requestId, extras)
       return error.code !== ErrorCode.Unavailable && error.code !== ErrorCode.Exhausted
     }
-    const claim = claimed.val
+    const claim = claimResult.val
     const headers = removeHopByHop(request.headers)
     delete headers.host
-    headers['x-forwarded-for'] = this.parts.regions.buildForwardedFor(request)
-    const bounded = claim === undefined ? context : { ...context, deadline: claim.deadline }
-    const ran = await this.parts.runner.run(bounded, headers, body)
-    if (ran.ok) return await this.answer(context, ran.val, claim, response)
-    return await this.refuse(context, ran.val, claim, response)
+    headers['x-forwarded-for'] = this.dependencies.regions.buildForwardedFor(request)
+    const runContext = claim === undefined ? context : { ...context, deadline: claim.deadline }
+    const runResult = await this.dependencies.runner.run(runContext, headers, body)
+    if (runResult.ok) return await this.sendResponse(context, runResult.val, claim, response)
+    return await this.sendFailure(context, runResult.val, claim, response)
   }
 
-  private async refuse (context: RequestContext, failure: RequestFailure, claim: HeldClaim | undefined, response: ServerResponse): Promise<boolean> {
+  private async sendFailure (context: RequestContext, failure: RequestFailure, claim: HeldClaim | undefined, response: ServerResponse): Promise<boolean> {
     const { error, outcome, retryAfterSeconds } = failure
-    const leastWait = claim === undefined ? undefined : await this.finishClaim(claim, outcome, context.deadline)
-    this.logRefusal(context, error, outcome)
-    answerProblem(response, error, outcome, context.requestId, { retryAfterSeconds: Math.max(retryAfterSeconds, leastWait ?? 0) })
+    const minRetryAfterSeconds = claim === undefined ? undefined : await this.finishClaim(claim, outcome, context.deadline)
+    this.logFailure(context, error, outcome)
+    sendProblem(response, error, outcome, context.requestId, { retryAfterSeconds: Math.max(retryAfterSeconds, minRetryAfterSeconds ?? 0) })
     return error.code === ErrorCode.Cancelled
   }
 
-  /** @returns the least Retry-After in seconds, if the key is not free at once */
+  /** @returns the minimum Retry-After in seconds, or undefined if the key is released or stays claimed */
   private async finishClaim (claim: HeldClaim, outcome: Outcome, deadline: Deadline): Promise<number | undefined> {
-    if (outcome === Outcome.NotRun) return await this.parts.deduplicator.release(claim, deadline)
-    this.parts.deduplicator.finish(claim, outcome)
+    if (outcome === Outcome.NotRun) return await this.dependencies.deduplicator.release(claim, deadline)
+    this.dependencies.deduplicator.finish(claim, outcome)
     return undefined
   }
 
-  private logRefusal (context: RequestContext, error: StepError, outcome: Outcome): void {
+  private logFailure (context: RequestContext, error: StepError, outcome: Outcome): void {
     const { service, requestId } = context
-    this.parts.logger.log(LogLevel.Warn, { step: error.step, peer: error.peer, code: error.code, outcome, requestId, service }, error.message)
-    this.parts.metrics.count('request.failed', 1, { service, outcome, code: error.code })
+    this.dependencies.logger.log(LogLevel.Warn, { step: error.step, peer: error.peer, code: error.code, outcome, requestId, service }, error.message)
+    this.dependencies.metrics.count('request.failed', 1, { service, outcome, code: error.code })
   }
 
-  private async answer (context: RequestContext, running: RunningAnswer, claim: HeldClaim | undefined, response: ServerResponse): Promise<boolean> {
-    const { status } = running.response
-    const end = await this.pipeAnswer(context, running, response)
-    running.finish(end)
-    // Of an exchange that began to be answered, the table never says `not-run`.
-    const outcome = classifyExchange(SentState.MayHaveLeft, STATE_BY_END[end]) === Outcome.Done ? Outcome.Done : Outcome.Unknown
-    if (claim !== undefined) this.parts.deduplicator.finish(claim, outcome, status)
-    return end === AnswerEnd.Whole ? status < SERVER_ERROR : end === AnswerEnd.CallerLeft
+  private async sendResponse (context: RequestContext, pending: PendingResponse, claim: HeldClaim | undefined, response: ServerResponse): Promise<boolean> {
+    const { status } = pending.response
+    const end = await this.pipeResponse(context, pending, response)
+    pending.finish(end)
+    // The outcome table never yields `not-run` once a response has begun.
+    const outcome = classifyExchange(SentState.MayHaveLeft, ANSWER_STATE_BY_END[end]) === Outcome.Done ? Outcome.Done : Outcome.Unknown
+    if (claim !== undefined) this.dependencies.deduplicator.finish(claim, outcome, status)
+    return end === ResponseEnd.Complete ? status < MIN_SERVER_ERROR_STATUS : end === ResponseEnd.CallerDisconnected
   }
 
-  private async pipeAnswer (context: RequestContext, running: RunningAnswer, response: ServerResponse): Promise<AnswerEnd> {
-    const { status, headers, body } = running.response
+  private async pipeResponse (context: RequestContext, pending: PendingResponse, response: ServerResponse): Promise<ResponseEnd> {
+    const { status, headers, body } = pending.response
     try {
       response.statusCode = status
       for (const [name, value] of Object.entries(removeHopByHop(headers))) response.setHeader(name, value)
       await pipeline(body, response)
-      return AnswerEnd.Whole
+      return ResponseEnd.Complete
     } catch (cause) {
-      // The upstream's body ended early or the caller left. The connection is
-      // destroyed, so that the caller sees it break and never takes a short
-      // answer for a whole one.
+      // The upstream's body ended early or the caller disconnected. The connection is
+      // destroyed so that the caller can't mistake an incomplete response for a
+      // complete one.
       response.destroy()
       body.destroy()
-      const message = cause instanceof Error ? cause.message : 'the answer broke off'
-      this.parts.logger.log(LogLevel.Warn, { step: 'pipe-answer', peer: running.workerId, requestId: context.requestId }, message)
-      const isUpstreams = cause instanceof AttemptError && cause.code !== ErrorCode.Cancelled
-      return !isUpstreams && context.signal.aborted ? AnswerEnd.CallerLeft : AnswerEnd.Broken
+      const message = cause instanceof Error ? cause.message : 'the response was interrupted'
+      this.dependencies.logger.log(LogLevel.Warn, { step: 'pipe-answer', peer: pending.workerId, requestId: context.requestId }, message)
+      const isUpstreamFailure = cause instanceof AttemptError && cause.code !== ErrorCode.Cancelled
+      return !isUpstreamFailure && context.signal.aborted ? ResponseEnd.CallerDisconnected : ResponseEnd.Broken
     }
   }
 
   private createContext (request: IncomingMessage, requestId: string, signal: AbortSignal): RequestContext | StepError {
-    const current = this.parts.keeper.current
-    if (current === undefined) return createLocalError(ErrorCode.Unavailable, 'no configuration is in force yet')
+    const current = this.dependencies.keeper.current
+    if (current === undefined) return createLocalError(ErrorCode.Unavailable, 'no configuration has been loaded yet')
     const target = parseTarget(request.url ?? '/')
-    // A service named like a member of every object (`constructor`) must not be found.
+    // A service named like an inherited property (`constructor`) must not be found.
     const settings = target !== undefined && Object.hasOwn(current.body.services, target.service) ? current.body.services[target.service] : undefined
-    if (target === undefined || settings === undefined) return createLocalError(ErrorCode.NotFound, `no service stands behind ${request.url}`)
-    const spanMs = parseSpan(getHeader(request, 'umberspar-timeout-ms'), settings.answerWithinMs)
-    if (spanMs === undefined) return createLocalError(ErrorCode.Invalid, 'umberspar-timeout-ms: expected a whole number of milliseconds above 0')
+    if (target === undefined || settings === undefined) return createLocalError(ErrorCode.NotFound, `no service matches ${request.url}`)
+    const timeoutMs = parseTimeout(getHeader(request, 'umberspar-timeout-ms'), settings.answerWithinMs)
+    if (timeoutMs === undefined) return createLocalError(ErrorCode.Invalid, 'umberspar-timeout-ms: expected a positive integer')
     const method = request.method ?? 'GET'
     const route = findRoute(settings, target.path)
-    const mayRepeat = isIdempotent(route, method)
-    // Where keys are expected, a request without one is tried once only: neither
-    // we nor its caller could tell a second run from the first.
-    const isOnce = settings.deduplicate && !mayRepeat && getHeader(request, KEY_HEADER) === undefined
+    const canRetry = isIdempotent(route, method)
+    // If the service deduplicates by key, a non-idempotent request without a key is
+    // attempted only once: neither the daemon nor the caller could detect a second run.
+    const isSingleAttempt = settings.deduplicate && !canRetry && getHeader(request, IDEMPOTENCY_KEY_HEADER) === undefined
     return {
       requestId,
       service: target.service,
       settings,
       route,
-      isIdempotent: mayRepeat,
-      maxAttempts: isOnce ? 1 : MAX_ATTEMPTS,
+      isIdempotent: canRetry,
+      maxAttempts: isSingleAttempt ? 1 : MAX_ATTEMPTS,
       method,
       path: target.path,
-      clientRegion: this.parts.regions.find(request),
-      deadline: createDeadline(this.parts.clock.now(), spanMs),
+      clientRegion: this.dependencies.regions.find(request),
+      deadline: createDeadline(this.dependencies.clock.now(), timeoutMs),
       signal
     }
   }
 
   private record (context: RequestContext, isServed: boolean, startedAt: number): void {
-    const now = this.parts.clock.now()
-    this.parts.burn.record(context.service, isGoodRequest(context.settings.objective, isServed, startedAt, now), now)
-    this.parts.metrics.observe('request.latency', now - startedAt, { service: context.service })
+    const now = this.dependencies.clock.now()
+    this.dependencies.burn.record(context.service, isGoodRequest(context.settings.objective, isServed, startedAt, now), now)
+    this.dependencies.metrics.observe('request.latency', now - startedAt, { service: context.service })
   }
 }
 
 /**
- * @param url path and query of a request
- * @returns the service and what stands below it, or undefined
+ * @param url a request's path and query
+ * @returns the service and the path after its prefix, or undefined if the URL names no service
  */
 export function parseTarget (url: string): Target | undefined {
   if (!url.startsWith(SERVICES_PREFIX)) return undefined
   const rest = url.slice(SERVICES_PREFIX.length)
   const end = rest.search(/[/?]/)
   const service = end === -1 ? rest : rest.slice(0, end)
-  const below = end === -1 ? '' : rest.slice(end)
-  return { service, path: below.startsWith('/') ? below : `/${below}` }
+  const pathAndQuery = end === -1 ? '' : rest.slice(end)
+  return { service, path: pathAndQuery.startsWith('/') ? pathAndQuery : `/${pathAndQuery}` }
 }
 
-function parseSpan (text: string | undefined, otherwise: number): number | undefined {
-  if (text === undefined) return otherwise
-  const span = Number(text)
-  if (!Number.isInteger(span) || span <= 0) return undefined
-  return Math.min(span, Math.max(MAX_ANSWER_SPAN, otherwise))
+function parseTimeout (text: string | undefined, defaultMs: number): number | undefined {
+  if (text === undefined) return defaultMs
+  const timeoutMs = Number(text)
+  if (!Number.isInteger(timeoutMs) || timeoutMs <= 0) return undefined
+  return Math.min(timeoutMs, Math.max(MAX_TIMEOUT_MS, defaultMs))
 }
 
 function getHeader (request: IncomingMessage, name: string): string | undefined {
--- a/packages/daemon/src/node/callers/problem.ts
+++ b/packages/daemon/src/node/callers/sendProblem.ts
@@ -1,4 +1,4 @@
-/** Writes problem documents (RFC 9457) to callers. */
+/** Sends problem documents (RFC 9457) to callers. */
 import type { StepError } from '@umberspar/base/common/errors'
 import { ErrorCode } from '@umberspar/base/common/errors'
 import { AdmissionError } from '@umberspar/steering/common/limits/admissionError'
@@ -6,7 +6,7 @@
 import { Outcome } from '@umberspar/steering/common/state/outcome'
 import type { ServerResponse } from 'node:http'
 
-const RETRY_AFTER_SECONDS = 1
+const DEFAULT_RETRY_AFTER_SECONDS = 1
 
 const KIND_BY_CODE: Readonly<Record<ErrorCode, ProblemKind>> = {
   [ErrorCode.Invalid]: ProblemKind.BadRequest,
@@ -21,44 +21,44 @@
   [ErrorCode.Internal]: ProblemKind.Internal
 }
 
-/** Codes after which the same request may find room or a healthy upstream. */
-const RETRY_LATER: ReadonlySet<ErrorCode> = new Set([ErrorCode.Exhausted, ErrorCode.Unavailable, ErrorCode.Refused, ErrorCode.DeadlinePassed])
+/** Errors that may be resolved when the caller retries, because capacity or a healthy upstream is available again. */
+const RETRYABLE_CODES: ReadonlySet<ErrorCode> = new Set([ErrorCode.Exhausted, ErrorCode.Unavailable, ErrorCode.Refused, ErrorCode.DeadlinePassed])
 
-/** What an error answer may carry beside the error. */
+/** Optional details of a problem response. */
 export interface ProblemExtras {
   /** Instead of the kind that the error's code stands for. */
   readonly kind?: ProblemKind
-  /** When the caller may come back. */
+  /** When the caller may retry. */
   readonly retryAfterSeconds?: number
-  /** Members of the problem document beside the standard ones. */
+  /** Extension members of the problem document. */
   readonly members?: Readonly<Record<string, unknown>>
 }
 
 function getKind (error: StepError, outcome: Outcome): ProblemKind {
-  const isLost = outcome === Outcome.Unknown && error.code !== ErrorCode.DeadlinePassed
-  return isLost ? ProblemKind.UpstreamFailed : KIND_BY_CODE[error.code]
+  const isOutcomeUnknown = outcome === Outcome.Unknown && error.code !== ErrorCode.DeadlinePassed
+  return isOutcomeUnknown ? ProblemKind.UpstreamFailed : KIND_BY_CODE[error.code]
 }
 
-/** A caller that may not repeat its request is not told when to. */
-function findRetryAfter (error: StepError, outcome: Outcome, extras: ProblemExtras): number | undefined {
+/** Returns undefined for requests that must not be retried. */
+function getRetryAfterSeconds (error: StepError, outcome: Outcome, extras: ProblemExtras): number | undefined {
   if (extras.kind !== undefined) return extras.retryAfterSeconds
-  const mayComeBack = outcome === Outcome.NotRun && RETRY_LATER.has(error.code)
-  if (!mayComeBack) return undefined
-  const estimated = error instanceof AdmissionError ? error.retryAfterSeconds : RETRY_AFTER_SECONDS
+  const canRetry = outcome === Outcome.NotRun && RETRYABLE_CODES.has(error.code)
+  if (!canRetry) return undefined
+  const estimated = error instanceof AdmissionError ? error.retryAfterSeconds : DEFAULT_RETRY_AFTER_SECONDS
   return extras.retryAfterSeconds ?? estimated
 }
 
 /**
- * Ends a response with a problem document. Nothing is written once headers have
- * left: the connection is destroyed instead, so that a broken answer can never
- * be taken for a whole one.
+ * Ends a response with a problem document. If the headers were already sent, the
+ * connection is destroyed instead, so that an incomplete response can't be mistaken
+ * for a complete one.
  * @param response the caller's response
- * @param error what failed, with step and peer
+ * @param error the error, with step and peer
  * @param outcome whether the request may have run
  * @param requestId the request's id
- * @param extras another kind, the time to come back, further members
+ * @param extras overrides the kind and the retry delay, and adds members
  */
-export function answerProblem (response: ServerResponse, error: StepError, outcome: Outcome, requestId: string, extras: ProblemExtras = {}): void {
+export function sendProblem (response: ServerResponse, error: StepError, outcome: Outcome, requestId: string, extras: ProblemExtras = {}): void {
   if (response.headersSent) {
     response.destroy()
     return
@@ -66,7 +66,7 @@
   const kind = extras.kind ?? getKind(error, outcome)
   const problem = buildProblem({ kind, detail: error.message, step: error.step, peer: error.peer, outcome, requestId })
   const body = JSON.stringify({ ...problem, ...extras.members })
-  const retryAfter = findRetryAfter(error, outcome, extras)
+  const retryAfter = getRetryAfterSeconds(error, outcome, extras)
   response.statusCode = problem.status
   response.setHeader('Content-Type', PROBLEM_MEDIA_TYPE)
   response.setHeader('Content-Length', Buffer.byteLength(body))
--- a/packages/daemon/src/node/configuration/configurationKeeper.ts
+++ b/packages/daemon/src/node/configuration/configurationKeeper.ts
@@ -1,6 +1,6 @@
 /**
- * Holds the configuration in force at this node. It never goes to a lower
- * version, whatever the store, a watch or a peer offers.
+ * Holds the configuration in force on this node. Its version never decreases,
+ * whatever the store, a watch or a peer offers.
  */
 import type { IClosable } from '@umberspar/base/common/closing'
 import type { Instant } from '@umberspar/base/common/clock'
@@ -11,22 +11,22 @@
 import type { PushRoute } from '@umberspar/steering/common/spread/pushTree'
 import type { Digester } from '@umberspar/steering/common/configuration/canonicalJson'
 
-/** Why an offered configuration was or was not put in force. */
+/** Whether an offered configuration was put in force. */
 export enum AdoptResult {
   Adopted = 'adopted',
-  /** The version in force is the same or higher. */
+  /** The version in force is the same or newer. */
   NotNewer = 'not-newer',
-  /** The body does not match its digest or breaks the schema. */
+  /** The body doesn't match its digest or the schema. */
   Damaged = 'damaged'
 }
 
-/** A configuration as stored and sent: the head and the canonical JSON text of the body. */
+/** A serialized configuration as stored and sent: the head, and the body as canonical JSON text. */
 export interface ConfigurationText {
   readonly head: ConfigurationHead
   readonly text: string
 }
 
-/** By which way a configuration came. */
+/** Where a configuration was received from. */
 export enum LearnSource {
   /** This node read it from the store. */
   Store = 'store',
@@ -34,22 +34,22 @@
   Operator = 'operator',
   /** A peer pushed it. */
   Push = 'push',
-  /** A comparison of digests showed that a peer is ahead. */
+  /** A digest exchange showed that a peer has a newer version. */
   Digest = 'digest'
 }
 
-/** By which way a configuration came, and how a push goes on. */
+/** Where a configuration was received from, and for a push the route on which it is forwarded. */
 export type LearnOrigin =
   | { readonly source: LearnSource.Push, readonly route: PushRoute | undefined }
   | { readonly source: Exclude<LearnSource, LearnSource.Push> }
 
-/** A configuration that was just put in force. */
+/** A configuration that was put in force, and its origin. */
 export interface LearnedConfiguration {
   readonly configuration: ConfigurationText
   readonly origin: LearnOrigin
 }
 
-/** The configuration in force, and the events of its change. */
+/** Holds the configuration in force and notifies of its changes. */
 export class ConfigurationKeeper implements IClosable {
   private readonly didAdopt = new Emitter<VersionedConfiguration>()
   private inForce: VersionedConfiguration | undefined
@@ -59,9 +59,9 @@
   private storeConfirmedAt: Instant | undefined
   private readonly didLearn = new Emitter<LearnedConfiguration>()
 
-  /** Fires after a higher version is in force. */
+  /** Fires after a newer version was put in force. */
   readonly onDidAdopt = this.didAdopt.event
-  /** Fires after `onDidAdopt`, with the way by which the version came. */
+  /** Fires after `onDidAdopt`, with the origin of the version. */
   readonly onDidLearn = this.didLearn.event
 
   constructor (
@@ -69,36 +69,36 @@
     private readonly logger: ILogger
   ) {}
 
-  /** @returns the configuration in force, or undefined before the first */
+  /** @returns the configuration in force, or undefined if there is none yet */
   get current (): VersionedConfiguration | undefined {
     return this.inForce
   }
 
-  /** @returns the version in force, 0 before the first */
+  /** @returns the version in force, or 0 if there is none yet */
   get version (): number {
     return this.inForce?.head.version ?? 0
   }
 
-  /** @returns the highest version that the store or any peer has shown, in force here or not */
+  /** @returns the highest version that the store or any peer has reported, whether or not it is in force here */
   get highestSeen (): number {
     return Math.max(this.seenVersion, this.version)
   }
 
-  /** @returns when a peer was last seen to have a higher version than this node had then */
+  /** @returns when a peer last reported a newer version than this node had at that time */
   get lastAheadSeenAt (): Instant | undefined {
     return this.aheadSeenAt
   }
 
-  /** @returns when a read of the store, by whichever node, last showed no higher version than the one in force here */
+  /** @returns when any node last read the store and found no newer version than the one in force here */
   get confirmedAt (): Instant | undefined {
     return this.storeConfirmedAt
   }
 
   /**
-   * Takes in which version a peer has.
+   * Records the version that a peer reports.
    * @param version the peer's version
-   * @param confirmedAt when a read of the store confirmed it
-   * @param now the present
+   * @param confirmedAt when a read of the store confirmed that version
+   * @param now the current time
    */
   observePeer (version: number, confirmedAt: Instant | undefined, now: Instant): void {
     if (version > this.version) this.aheadSeenAt = now
@@ -107,38 +107,38 @@
   }
 
   /**
-   * Takes in that the store's newest version was no higher than the one in force.
-   * @param version what the store showed
-   * @param at when
+   * Records that the store's newest version was not newer than the one in force.
+   * @param version the store's version
+   * @param at when the store was read
    */
   recordConfirmed (version: number, at: Instant): void {
     this.seenVersion = Math.max(this.seenVersion, version)
     if (version <= this.version && at > (this.storeConfirmedAt ?? -Infinity)) this.storeConfirmedAt = at
   }
 
-  /** @returns what peers and the store get, or undefined before the first */
+  /** @returns the serialized configuration in force, or undefined if there is none yet */
   get currentText (): ConfigurationText | undefined {
     return this.inForce === undefined ? undefined : { head: this.inForce.head, text: this.inForceText }
   }
 
   /**
-   * Puts an offered configuration in force if it is newer and intact.
-   * @param offer what the store or a peer showed
-   * @param peer the peer or store it came from, for the log
-   * @param origin by which way it came
-   * @returns whether it is in force now
+   * Puts an offered configuration in force if it is newer and valid.
+   * @param offer the configuration from the store or a peer
+   * @param peer the peer or store that it came from, for the log
+   * @param origin where it was received from
+   * @returns whether it was put in force
    */
   apply (offer: ConfigurationText, peer: string, origin: LearnOrigin): AdoptResult {
     this.checkSameVersion(offer.head, peer)
     if (!shouldAdopt(this.version, offer.head.version)) return AdoptResult.NotNewer
-    // A body assembled from chunks of two writers, or cut off on its way, would
-    // steer by rules nobody accepted; its digest differs from the head's.
-    if (this.digester.computeDigest(offer.text) !== offer.head.digest) return this.refuseDamaged(offer, peer, 'the digest differs')
+    // A truncated body, or one assembled from chunks of two writers, would be a
+    // configuration that nobody accepted. Its digest differs from the head's.
+    if (this.digester.computeDigest(offer.text) !== offer.head.digest) return this.refuseDamaged(offer, peer, 'the digest does not match')
     const body = validateConfiguration(JSON.parse(offer.text))
     if (!body.ok) return this.refuseDamaged(offer, peer, body.val.map((problem) => `${problem.path}: ${problem.message}`).join('; '))
     this.inForce = { head: offer.head, body: body.val }
     this.inForceText = offer.text
-    this.logger.log(LogLevel.Info, { step: 'adopt-configuration', peer, version: offer.head.version, source: origin.source }, 'configuration is in force')
+    this.logger.log(LogLevel.Info, { step: 'adopt-configuration', peer, version: offer.head.version, source: origin.source }, 'configuration put in force')
     this.didAdopt.fire(this.inForce)
     this.didLearn.fire({ configuration: offer, origin })
     return AdoptResult.Adopted
@@ -150,14 +150,15 @@
   }
 
   /**
-   * After a restore of the store from an old state a change accepted by a daemon
-   * that knew of nothing higher may bear a number that is in force elsewhere. Both
-   * stay where they are until a higher number replaces both; operators are told.
+   * Reports two different changes with the same version. This can happen after the
+   * store was restored from a backup, if a daemon that knew of no newer version
+   * accepted a change. Both stay in force where they are until a newer version
+   * replaces them.
    */
   private checkSameVersion (head: ConfigurationHead, peer: string): void {
     const own = this.inForce?.head
     if (own === undefined || own.version !== head.version || own.changeId === head.changeId) return
-    this.logger.log(LogLevel.Error, { step: 'adopt-configuration', peer, version: head.version, changeId: head.changeId }, 'two changes bear one version; submit a patch to replace both')
+    this.logger.log(LogLevel.Error, { step: 'adopt-configuration', peer, version: head.version, changeId: head.changeId }, 'two different changes have the same version; submit a patch to replace both')
   }
 
   private refuseDamaged (offer: ConfigurationText, peer: string, reason: string): AdoptResult {
--- a/packages/daemon/src/node/configuration/configurationRecords.ts
+++ b/packages/daemon/src/node/configuration/configurationRecords.ts
@@ -1,4 +1,4 @@
-/** The JSON records of the configuration in the store, checked when they are read. */
+/** Schemas of the configuration's JSON records in the store. */
 import { type StepError, toStepError } from '@umberspar/base/common/errors'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
 import type { StoredValue } from '@umberspar/steering/common/ports/keyValueStore'
@@ -6,9 +6,9 @@
 
 const PEER = 'store'
 
-/** The head's value. */
+/** The value of the head key. */
 export const headSchema = z.object({ version: z.number().int().min(1), changeId: z.string(), digest: z.string() })
-/** The value of a history entry. */
+/** The value of a history key. */
 export const historySchema = headSchema.extend({
   baseVersion: z.number().int().min(0),
   note: z.string(),
@@ -16,19 +16,19 @@
   chunks: z.number().int().min(1)
 })
 
-/** The value of a note of a body that is being written. */
+/** The value of a pending key, which marks a body that is being written. */
 export const pendingSchema = z.object({ version: z.number().int().min(1), changeId: z.string(), chunks: z.number().int().min(1) })
-/** A body that is being written, or was when its writer died. */
+/** A body that is being written, or that was left behind by a writer that crashed. */
 export type PendingBody = z.output<typeof pendingSchema>
 
-/** One accepted change. */
+/** A change that was accepted. */
 export type HistoryEntry = z.output<typeof historySchema>
 
 /**
- * Reads a stored JSON value.
- * @param stored the value
- * @param schema what it must look like
- * @param step the step named in an error
+ * Parses and validates a stored JSON value.
+ * @param stored the stored value
+ * @param schema the value's schema
+ * @param step the step to name in an error
  * @returns the parsed value
  */
 export function parseStored<T> (stored: StoredValue, schema: z.ZodType<T>, step: string): Result<T, StepError> {
--- a/packages/daemon/src/node/configuration/configurationStore.ts
+++ b/packages/daemon/src/node/configuration/configurationStore.ts
@@ -1,9 +1,9 @@
 /**
- * The configuration's keys in the store. The body is written first, under the
- * change's own id, then the head by compare-and-swap: whoever reads a head finds
- * its whole body, and two racing writers never mix their chunks. Every write is
- * conditional on the head that the change is made against, so that a write which
- * arrives late, after another change, has no effect.
+ * Reads and writes the configuration in the store. The body is written first, under
+ * the change's id, then the head by compare-and-swap. So a reader of a head always
+ * finds its complete body, and concurrent writers never mix their chunks. Every write
+ * is conditional on the head that the change is based on, so that a delayed write that
+ * arrives after another change has no effect.
  */
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import type { Deadline } from '@umberspar/base/common/deadline'
@@ -13,25 +13,25 @@
 import { headSchema, type HistoryEntry, historySchema, parseStored, type PendingBody, pendingSchema } from './configurationRecords.js'
 import type { ConfigurationText } from './configurationKeeper.js'
 
-/** Half of what the store takes as one value, so that keys and framing fit beside it. */
+/** Half of the store's maximum value size, which leaves space for keys and framing. */
 export const CHUNK_BYTES = 512 * 1024
-/** Versions kept besides the one in force. */
-export const HISTORY_LIMIT = 100
-/** As many as a document between peers may have bytes; far below a transaction's limit of 128 operations. */
+/** Number of versions kept in the history. */
+export const MAX_HISTORY_ENTRIES = 100
+/** Corresponds to the maximum size of a document between peers, and is far below a transaction's limit of 128 operations. */
 export const MAX_CHUNKS = 32
-/** Operations of one clean-up transaction; the store takes 128. */
-const MAX_DELETES = 100
-const CHUNK_ATTEMPTS = 2
+/** The store allows 128 operations in one transaction. */
+const MAX_DELETES_PER_TRANSACTION = 100
+const MAX_CHUNK_ATTEMPTS = 2
 const VERSION_DIGITS = 12
 const PEER = 'store'
 
-/** A head and the store's revision of its key. */
+/** A head and the revision of its key in the store. */
 export interface StoredHead {
   readonly head: ConfigurationHead
   readonly modRevision: number
 }
 
-/** A change about to be written. */
+/** A change to be written. */
 export interface ConfigurationChange {
   readonly base: StoredHead | undefined
   readonly next: ConfigurationText
@@ -54,14 +54,14 @@
     private readonly keyPrefix: string
   ) {}
 
-  /** @returns the key whose change announces a new version */
+  /** @returns the key that changes with every new version */
   get headKey (): string {
     return `${this.keyPrefix}config/head`
   }
 
   /**
    * @param deadline when to give up
-   * @returns the head, or undefined if no configuration was ever accepted
+   * @returns the head, or undefined if the store has no configuration
    */
   async readHead (deadline: Deadline): Promise<Result<StoredHead | undefined, StepError>> {
     const read = await this.store.get(this.headKey, deadline)
@@ -73,9 +73,9 @@
   }
 
   /**
-   * @param head whose body
+   * @param head the head of the version to read
    * @param deadline when to give up
-   * @returns the body's text
+   * @returns the head and the body's text
    */
   async readBody (head: ConfigurationHead, deadline: Deadline): Promise<Result<ConfigurationText, StepError>> {
     const prefix = this.getBodyPrefix(head)
@@ -85,7 +85,7 @@
       .map((value) => ({ index: Number(value.key.slice(prefix.length)), bytes: value.value }))
       .sort((a, b) => a.index - b.index)
     if (parts.length === 0) {
-      return new Err(new StepError({ code: ErrorCode.NotFound, step: 'read-body', peer: PEER, message: `version ${head.version} is not kept any more` }))
+      return new Err(new StepError({ code: ErrorCode.NotFound, step: 'read-body', peer: PEER, message: `version ${head.version} is no longer kept` }))
     }
     const text = Buffer.concat(parts.map((part) => part.bytes)).toString('utf8')
     return new Ok({ head, text })
@@ -93,7 +93,7 @@
 
   /**
    * @param deadline when to give up
-   * @returns the kept history, newest first
+   * @returns the history, newest first
    */
   async listHistory (deadline: Deadline): Promise<Result<HistoryEntry[], StepError>> {
     const listed = await this.store.list(`${this.keyPrefix}config/history/`, deadline)
@@ -110,7 +110,7 @@
   /**
    * @param changeId a change's id
    * @param deadline when to give up
-   * @returns the head that the change made, or undefined if the history has none of that id
+   * @returns the head that the change created, or undefined if the history has no such change
    */
   async findChange (changeId: string, deadline: Deadline): Promise<Result<ConfigurationHead | undefined, StepError>> {
     const history = await this.listHistory(deadline)
@@ -121,15 +121,15 @@
   }
 
   /**
-   * Writes the body's chunks, then swaps the head.
-   * @param change what to write and the head it replaces
+   * Writes the body's chunks, then replaces the head by compare-and-swap.
+   * @param change the change and the head that it replaces
    * @param deadline when to give up
-   * @returns whether the swap took effect; `EffectUnknown` if its answer was lost
+   * @returns whether the swap was applied; `EffectUnknown` if its response was lost
    */
   async write (change: ConfigurationChange, deadline: Deadline): Promise<Result<boolean, StepError>> {
     const bytes = this.encoder.encode(change.next.text)
     const chunks = Math.max(1, Math.ceil(bytes.length / CHUNK_BYTES))
-    if (chunks > MAX_CHUNKS) return new Err(new StepError({ code: ErrorCode.Invalid, step: 'write-body', peer: PEER, message: `the configuration has ${bytes.length} bytes, more than ${MAX_CHUNKS * CHUNK_BYTES}` }))
+    if (chunks > MAX_CHUNKS) return new Err(new StepError({ code: ErrorCode.Invalid, step: 'write-body', peer: PEER, message: `the configuration has ${bytes.length} bytes, more than the maximum of ${MAX_CHUNKS * CHUNK_BYTES}` }))
     const written: StoreCondition[] = []
     for (let index = 0; index < chunks; index++) {
       const part = bytes.subarray(index * CHUNK_BYTES, (index + 1) * CHUNK_BYTES)
@@ -142,11 +142,11 @@
   }
 
   /**
-   * Rewrites the head as it is. Its revision grows, so that a swap which was sent
-   * earlier and whose answer was lost can no longer take effect.
+   * Rewrites the head unchanged. This increases its revision, so that an earlier swap
+   * whose response was lost can no longer be applied.
    * @param base the head as it was read
    * @param deadline when to give up
-   * @returns whether the head was still the same
+   * @returns whether the head was unchanged
    */
   async updateHeadRevision (base: StoredHead, deadline: Deadline): Promise<Result<boolean, StepError>> {
     const rewritten = await this.store.transact({
@@ -157,28 +157,28 @@
   }
 
   /**
-   * Removes history beyond the limit, bodies first.
+   * Removes history entries beyond the limit with their bodies.
    * @param deadline when to give up
-   * @returns how many versions were removed
+   * @returns the number of versions removed
    */
-  async removeOld (deadline: Deadline): Promise<Result<number, StepError>> {
+  async removeExpiredHistory (deadline: Deadline): Promise<Result<number, StepError>> {
     const history = await this.listHistory(deadline)
     if (!history.ok) return history
-    const old = history.val.slice(HISTORY_LIMIT)
-    for (const entry of old) {
+    const expired = history.val.slice(MAX_HISTORY_ENTRIES)
+    for (const entry of expired) {
       const removed = await this.deleteKeys([...this.listBodyKeys(entry, entry.chunks), this.getHistoryKey(entry.version)], deadline)
       if (!removed.ok) return removed
     }
-    return new Ok(old.length)
+    return new Ok(expired.length)
   }
 
   /**
-   * Removes bodies whose writer died, or lost the race, before it swapped the head.
-   * A body for a version that the head has reached can't be written any more.
+   * Removes bodies whose writer crashed, or lost to another one, before it replaced
+   * the head. A body of a version that the head has reached can no longer be written.
    * @param deadline when to give up
-   * @returns how many bodies were removed
+   * @returns the number of bodies removed
    */
-  async removeOrphans (deadline: Deadline): Promise<Result<number, StepError>> {
+  async removeOrphanedBodies (deadline: Deadline): Promise<Result<number, StepError>> {
     const listed = await this.store.list(this.pendingPrefix, deadline)
     if (!listed.ok) return listed
     const stored = await this.readHead(deadline)
@@ -196,30 +196,30 @@
     return new Ok(removed)
   }
 
-  /** @returns the chunk's key and revision, or undefined if the head has changed */
+  /** @returns a condition on the chunk as written, or undefined if the head has changed */
   private async writeChunk (change: ConfigurationChange, chunk: BodyChunk, deadline: Deadline): Promise<Result<StoreCondition | undefined, StepError>> {
     const { head } = change.next
     const key = `${this.getBodyPrefix(head)}${chunk.index}`
     const pending: PendingBody = { version: head.version, changeId: head.changeId, chunks: chunk.chunks }
     const writes: StoreWrite[] = [{ kind: 'put', key, value: chunk.part }]
-    // Before the first chunk stands a note of the body: if the writer dies before
-    // the swap, the note tells the next one what to remove.
+    // A pending key is written with the first chunk. If the writer crashes before the
+    // swap, the pending key tells others which body to remove.
     if (chunk.index === 0) writes.push({ kind: 'put', key: this.getPendingKey(head), value: this.encodeJson(pending) })
     let failure: StepError | undefined
-    for (let attempt = 0; attempt < CHUNK_ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAX_CHUNK_ATTEMPTS; attempt++) {
       const written = await this.store.transact({ conditions: [this.createHeadCondition(change.base)], writes }, deadline)
       if (written.ok) return new Ok(written.val.isApplied ? { key, modRevision: written.val.revision } : undefined)
       failure = written.val
       if (failure.code !== ErrorCode.EffectUnknown) break
     }
-    // A chunk whose answer was lost harms nothing: no head names it yet.
+    // A chunk whose response was lost has no effect, because no head refers to it yet.
     return new Err(new StepError({ code: ErrorCode.Unavailable, step: 'write-body', peer: PEER, message: failure?.message ?? '', cause: failure }))
   }
 
   /**
-   * The swap also asks for the chunks as this writer wrote them: another daemon
-   * that was sent the same change id, perhaps with another patch, writes to the
-   * same keys, and a head must never name a mixed body.
+   * Replaces the head on condition that the chunks are still those of this writer.
+   * Another daemon that received the same change id, possibly with another patch,
+   * writes to the same keys, and a head must never refer to a mixed body.
    */
   private async transactHead (change: ConfigurationChange, chunks: readonly StoreCondition[], deadline: Deadline): Promise<Result<boolean, StepError>> {
     const { base, next: { head }, note, atWallMs } = change
@@ -236,8 +236,8 @@
   }
 
   private async deleteKeys (keys: readonly string[], deadline: Deadline): Promise<Result<void, StepError>> {
-    for (let start = 0; start < keys.length; start += MAX_DELETES) {
-      const writes = keys.slice(start, start + MAX_DELETES).map((key) => ({ kind: 'delete' as const, key }))
+    for (let start = 0; start < keys.length; start += MAX_DELETES_PER_TRANSACTION) {
+      const writes = keys.slice(start, start + MAX_DELETES_PER_TRANSACTION).map((key) => ({ kind: 'delete' as const, key }))
       const deleted = await this.store.transact({ conditions: [], writes }, deadline)
       if (!deleted.ok) return deleted
     }
--- a/packages/daemon/src/node/configuration/configurationWatcher.ts
+++ b/packages/daemon/src/node/configuration/configurationWatcher.ts
@@ -1,8 +1,8 @@
 /**
- * Follows the head in the store. Two nodes of each region watch it; the others
- * learn from peers and read the store themselves only when nobody has confirmed
- * their version for long. Every broken watch is followed by a read, so that no
- * version is missed: only the newest one counts.
+ * Follows the head in the store. Two nodes of each region watch it. The others are
+ * updated by peers and read the store only if no node has confirmed their version for
+ * a long time. Every interrupted watch is followed by a read, so that the newest
+ * version is never missed.
  */
 import type { IClock, ITimer, Instant } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
@@ -19,14 +19,14 @@
 import { type ConfigurationKeeper, LearnSource } from './configurationKeeper.js'
 import type { ConfigurationStore, StoredHead } from './configurationStore.js'
 
-const READ_SPAN_MS = 2000
-/** The store's version was confirmed so lately, by whichever node, that a starting node need not read it. */
-const FRESH_SPAN_MS = 10_000
-const WRITE_BACK_SPAN_MS = 4000
-const WRITE_BACK_NOTE = 'written back: the store had gone back to an older version'
+const READ_TIMEOUT_MS = 2000
+/** A starting node skips reading the store if any node confirmed its version within this time. */
+const MAX_CONFIRMATION_AGE_MS = 10_000
+const WRITE_BACK_TIMEOUT_MS = 4000
+const WRITE_BACK_NOTE = 'written back: the store had reverted to an older version'
 
-/** What the watcher works with. */
-export interface ConfigurationWatcherParts {
+/** The services that the watcher uses. */
+export interface ConfigurationWatcherDependencies {
   readonly store: IKeyValueStore
   readonly configurations: ConfigurationStore
   readonly keeper: ConfigurationKeeper
@@ -37,44 +37,44 @@
   readonly logger: ILogger
 }
 
-/** What operators are shown of the store's side. */
+/** Status of following the store, for operators. */
 export interface StoreFollowStatus {
   /** Whether this node is one of its region's two watchers. */
   readonly isWatching: boolean
-  /** The version that the store showed last; undefined before the first answer. */
+  /** The version last read from the store; undefined before the first read. */
   readonly storeVersion: number | undefined
-  /** The store shows an older version than the one in force: it was restored from an old state. */
+  /** The store has an older version than the one in force, because it was restored from a backup. */
   readonly isStoreBehind: boolean
-  /** Milliseconds since a read of the store, by whichever node, confirmed the version in force. */
+  /** Milliseconds since any node's read of the store confirmed the version in force. */
   readonly confirmedAgeMs: number | undefined
 }
 
-/** Keeps the keeper up to date from the store. */
+/** Updates the keeper from the store. */
 export class ConfigurationWatcher implements IClosable {
-  private readonly parts: ConfigurationWatcherParts
+  private readonly dependencies: ConfigurationWatcherDependencies
   private watch: IStoreWatch | undefined
   private timer: ITimer | undefined
   private subscription: IClosable | undefined
   private isWatching = false
   private isReading = false
-  private isReadWanted = false
+  private isReadPending = false
   private isClosed = false
   private lastReadAt: Instant
   private lastFailure: StepError | undefined
   private storeVersion: number | undefined
 
-  constructor (parts: ConfigurationWatcherParts) {
-    this.parts = parts
+  constructor (parts: ConfigurationWatcherDependencies) {
+    this.dependencies = parts
     this.lastReadAt = parts.clock.now()
   }
 
   /**
-   * Reads the present head, unless a peer has just shown that its version is the
-   * store's, and begins to follow it.
+   * Reads the current head, unless a peer has recently confirmed the store's version,
+   * and starts following it.
    */
   async start (): Promise<void> {
-    const { keeper, clock, members } = this.parts
-    const isFresh = keeper.confirmedAt !== undefined && !hasPassed(createDeadline(keeper.confirmedAt, FRESH_SPAN_MS), clock.now())
+    const { keeper, clock, members } = this.dependencies
+    const isFresh = keeper.confirmedAt !== undefined && !hasPassed(createDeadline(keeper.confirmedAt, MAX_CONFIRMATION_AGE_MS), clock.now())
     if (keeper.current === undefined || !isFresh) await this.readOnce()
     if (this.isClosed) return
     this.subscription = members.onDidChange(() => this.updateRole())
@@ -82,18 +82,18 @@
     this.scheduleRead()
   }
 
-  /** Reads the head now, or once more after the read that is running. */
+  /** Reads the head now, or again after the read in progress. */
   async update (): Promise<void> {
     if (this.isReading) {
-      this.isReadWanted = true
+      this.isReadPending = true
       return
     }
     await this.readOnce()
   }
 
-  /** @returns what operators are shown of the store's side */
+  /** @returns the status of following the store */
   getStatus (): StoreFollowStatus {
-    const { keeper, clock } = this.parts
+    const { keeper, clock } = this.dependencies
     return {
       isWatching: this.isWatching,
       storeVersion: this.storeVersion,
@@ -102,13 +102,13 @@
     }
   }
 
-  /** @returns why there is no configuration, for operators */
+  /** @returns the reason why there is no configuration, for operators */
   getFailureReason (): string {
-    if (this.lastFailure !== undefined) return `the store does not answer (${this.lastFailure.message}) and no peer has one`
-    return this.storeVersion === 0 ? 'the store holds none and no peer has one' : 'the store and the peers are being asked'
+    if (this.lastFailure !== undefined) return `the store is unavailable (${this.lastFailure.message}) and no peer has one`
+    return this.storeVersion === 0 ? 'neither the store nor any peer has one' : 'waiting for the store and the peers'
   }
 
-  /** Ends the watch and all timers. */
+  /** Closes the watch and all timers. */
   close (): void {
     this.isClosed = true
     this.subscription?.close()
@@ -117,12 +117,12 @@
   }
 
   private updateRole (): void {
-    const { members, self } = this.parts
+    const { members, self } = this.dependencies
     const isChosen = isWatcher(members.listActive(), self)
     if (isChosen === this.isWatching || this.isClosed) return
     this.isWatching = isChosen
     if (isChosen) {
-      runDetached(() => this.update(), this.parts.logger, 'read-head')
+      runDetached(() => this.update(), this.dependencies.logger, 'read-head')
       return
     }
     this.watch?.close()
@@ -131,23 +131,23 @@
 
   private async readOnce (): Promise<void> {
     this.isReading = true
-    this.lastReadAt = this.parts.clock.now()
+    this.lastReadAt = this.dependencies.clock.now()
     this.lastFailure = await this.readHeadAndBody()
     this.isReading = false
     if (this.isClosed) return
-    if (this.lastFailure !== undefined) logError(this.parts.logger, LogLevel.Warn, this.lastFailure)
+    if (this.lastFailure !== undefined) logError(this.dependencies.logger, LogLevel.Warn, this.lastFailure)
     this.scheduleRead()
-    if (this.isReadWanted) {
-      this.isReadWanted = false
-      runDetached(() => this.readOnce(), this.parts.logger, 'read-head')
+    if (this.isReadPending) {
+      this.isReadPending = false
+      runDetached(() => this.readOnce(), this.dependencies.logger, 'read-head')
     }
   }
 
-  /** @returns what went wrong, or undefined */
+  /** @returns the failure, if any */
   private async readHeadAndBody (): Promise<StepError | undefined> {
-    const { clock, configurations, keeper } = this.parts
+    const { clock, configurations, keeper } = this.dependencies
     const askedAt = clock.now()
-    const deadline = createDeadline(askedAt, READ_SPAN_MS)
+    const deadline = createDeadline(askedAt, READ_TIMEOUT_MS)
     const stored = await configurations.readHead(deadline)
     if (!stored.ok) return stored.val
     const version = stored.val?.head.version ?? 0
@@ -164,34 +164,34 @@
   }
 
   /**
-   * The store was restored from an old state: its head is older than what is in
-   * force, and the next patch would bear a number that was used already. The
-   * version in force stays; a watcher writes it back. The write is conditional on
-   * the head that was read, so that of several watchers one does it, and one whose
-   * read was merely overtaken by a patch does nothing.
+   * Handles a store that was restored from a backup: its head is older than the version
+   * in force, and the next patch would reuse a version number. The version in force
+   * is kept, and a watching node writes it back. The write is conditional on the head
+   * that was read, so that only one of several watching nodes succeeds, and one whose
+   * read was merely outdated by a patch changes nothing.
    */
   private async writeBack (base: StoredHead | undefined): Promise<StepError | undefined> {
-    const { clock, configurations, keeper, logger } = this.parts
+    const { clock, configurations, keeper, logger } = this.dependencies
     const next = keeper.currentText
     if (!this.isWatching || next === undefined) return undefined
     const change = { base, next, note: WRITE_BACK_NOTE, atWallMs: clock.getWallTime() }
-    const written = await configurations.write(change, createDeadline(clock.now(), WRITE_BACK_SPAN_MS))
+    const written = await configurations.write(change, createDeadline(clock.now(), WRITE_BACK_TIMEOUT_MS))
     if (!written.ok) return written.val
     if (!written.val) return undefined
     this.storeVersion = next.head.version
-    logger.log(LogLevel.Error, { step: 'write-back', peer: 'store', storeVersion: base?.head.version ?? 0, version: next.head.version }, 'the store had gone back to an older version; the one in force was written back')
+    logger.log(LogLevel.Error, { step: 'write-back', peer: 'store', storeVersion: base?.head.version ?? 0, version: next.head.version }, 'the store had reverted to an older version; the version in force was written back')
     return undefined
   }
 
   private startWatch (fromRevision: number): void {
     if (this.watch !== undefined || this.isClosed) return
-    const { store, configurations, logger } = this.parts
+    const { store, configurations, logger } = this.dependencies
     const watch = store.watch(configurations.headKey, fromRevision)
     this.watch = watch
     watch.onDidChange(() => runDetached(() => this.update(), logger, 'read-head'))
     watch.onDidEnd((end) => {
-      // A cut or compacted watch may have missed changes: the head is read anew
-      // and tells all that matters, since only the newest version counts.
+      // An interrupted or compacted watch may have missed changes, so the head is read
+      // again. Missed versions don't matter, since only the newest one is used.
       logger.log(LogLevel.Warn, { step: 'watch-head', peer: 'store', end }, 'watch ended')
       watch.close()
       if (this.watch === watch) this.watch = undefined
@@ -202,11 +202,11 @@
   private scheduleRead (isBroken = false): void {
     if (this.isClosed) return
     this.timer?.close()
-    this.timer = this.parts.clock.schedule(this.computeNextRead(isBroken), () => this.readIfDue())
+    this.timer = this.dependencies.clock.schedule(this.computeNextRead(isBroken), () => this.readIfDue())
   }
 
   private computeNextRead (isBroken: boolean): Instant {
-    const { keeper, members, random } = this.parts
+    const { keeper, members, random } = this.dependencies
     return computeNextStoreRead({
       isWatcher: this.isWatching,
       nodeCount: members.list().length,
@@ -217,13 +217,13 @@
     }, random)
   }
 
-  /** Peers may have confirmed the version since the timer was set. */
+  /** Reads the head, unless peers have confirmed the version since the timer was set. */
   private readIfDue (): void {
     const at = this.computeNextRead(this.isWatching && this.watch === undefined)
-    if (!this.isWatching && !hasPassed(at, this.parts.clock.now())) {
+    if (!this.isWatching && !hasPassed(at, this.dependencies.clock.now())) {
       this.scheduleRead()
       return
     }
-    runDetached(() => this.update(), this.parts.logger, 'read-head')
+    runDetached(() => this.update(), this.dependencies.logger, 'read-head')
   }
 }
--- a/packages/daemon/src/node/configuration/patchService.ts
+++ b/packages/daemon/src/node/configuration/patchService.ts
@@ -1,6 +1,7 @@
 /**
- * Takes operators' patches: checks them whole, writes them under a condition on
- * the head, and settles a lost answer by the change's id.
+ * Applies operators' patches: validates the result, writes it on condition that the
+ * head is unchanged, and after a lost response finds out by the change's id whether
+ * the write was applied.
  */
 import type { IClock } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
@@ -18,35 +19,35 @@
 import { PatchSettler } from './patchSettler.js'
 import type { ConfigurationStore, StoredHead } from './configurationStore.js'
 
-const WRITE_SPAN_MS = 4000
-/** A peer that is ahead says so again in every round, at most 5 s and jitter apart. */
-const AHEAD_SPAN_MS = 30_000
-/** A patch is judged anew when the head changes while it is written; a new head makes it stale at the latest then. */
-const PATCH_ATTEMPTS = 4
+const WRITE_TIMEOUT_MS = 4000
+/** A peer with a newer version reports it in every heartbeat round, at most every 5 s plus jitter. */
+const PEER_AHEAD_TIMEOUT_MS = 30_000
+/** A patch is merged again if the head changes while it is written. The changed head usually makes it stale, so few attempts are needed. */
+const MAX_PATCH_ATTEMPTS = 4
 
 /** An operator's patch. */
 export interface PatchRequest {
   readonly baseVersion: number
-  /** Random, chosen by the operator's client; the same for every repetition of one change. */
+  /** Random id chosen by the operator's client, the same for every retry of one change. */
   readonly changeId: string
   readonly patch: unknown
   readonly note: string
 }
 
-/** Why a patch did not take effect. */
+/** Why a patch was not applied. */
 export type PatchFailure =
   | { readonly kind: 'refused', readonly refusal: PatchRefusal, readonly currentVersion: number }
   | { readonly kind: 'failed', readonly error: StepError }
 
 type PatchOutcome = Result<ConfigurationHead, PatchFailure>
 
-/** What the store holds before the first patch, which is made against version 0. */
+/** The base of the first patch, which is made against version 0. */
 const NO_CONFIGURATION: VersionedConfiguration = {
   head: { version: 0, changeId: '', digest: '' },
   body: {} as SteeringConfiguration
 }
 
-/** The newest configuration, and its head in the store unless there is none. */
+/** The newest configuration, and its head in the store if there is one. */
 interface CurrentState {
   readonly stored: StoredHead | undefined
   readonly configuration: VersionedConfiguration
@@ -66,45 +67,46 @@
     this.settler = new PatchSettler(configurations, clock)
   }
 
-  /** Further checks of a whole result; a problem found refuses the patch. */
+  /** Additional checks of the merged configuration. If they find a problem, the patch is refused. */
   checkResult: (current: SteeringConfiguration, next: SteeringConfiguration) => ConfigurationProblem[] = () => []
 
   /**
-   * Checks a patch without writing.
-   * @param request base version and patch
-   * @param isRoomChecked whether drains must fit the present demand
-   * @returns the configuration it would make, or why it is refused
+   * Validates a patch without applying it.
+   * @param request the base version and the patch
+   * @param isCapacityChecked whether the remaining capacity must suffice for the current demand during drains
+   * @returns the configuration that would result, or why the patch is refused
    */
-  async validate (request: Pick<PatchRequest, 'baseVersion' | 'patch'>, isRoomChecked = true): Promise<Result<SteeringConfiguration, PatchFailure>> {
-    const deadline = createDeadline(this.clock.now(), WRITE_SPAN_MS)
+  async validate (request: Pick<PatchRequest, 'baseVersion' | 'patch'>, isCapacityChecked = true): Promise<Result<SteeringConfiguration, PatchFailure>> {
+    const deadline = createDeadline(this.clock.now(), WRITE_TIMEOUT_MS)
     const current = await this.readCurrent(deadline)
     if (!current.ok) return new Err({ kind: 'failed', error: current.val })
-    return await this.merge(current.val.configuration, request, deadline, isRoomChecked)
+    return await this.merge(current.val.configuration, request, deadline, isCapacityChecked)
   }
 
   /**
    * Applies a patch.
    * @param request the patch
-   * @returns the new head, or why there is none
+   * @returns the new head, or why the patch was not applied
    */
   async patch (request: PatchRequest): Promise<Result<ConfigurationHead, PatchFailure>> {
-    const deadline = createDeadline(this.clock.now(), WRITE_SPAN_MS)
-    for (let attempt = 0; attempt < PATCH_ATTEMPTS; attempt++) {
+    const deadline = createDeadline(this.clock.now(), WRITE_TIMEOUT_MS)
+    for (let attempt = 0; attempt < MAX_PATCH_ATTEMPTS; attempt++) {
       const outcome = await this.runAttempt(request, deadline)
       if (outcome !== undefined) return outcome
     }
-    return this.createFailure(ErrorCode.Conflict, 'other changes came first again and again')
+    return this.createFailure(ErrorCode.Conflict, 'repeated conflicts with concurrent changes')
   }
 
-  /** @returns undefined if the head changed meanwhile and the patch is to be judged anew */
+  /** @returns undefined if the head changed meanwhile and the patch must be merged again */
   private async runAttempt (request: PatchRequest, deadline: Deadline): Promise<PatchOutcome | undefined> {
-    // The head is read before the history: whatever the head already holds, the
-    // history shows, so that a change in force is not taken for a stale one.
+    // The head is read before the history, so that the history includes every change
+    // that the head includes. Otherwise a retry of a change that was already applied
+    // could be refused as stale.
     const current = await this.readCurrent(deadline)
     if (!current.ok) return new Err({ kind: 'failed', error: current.val })
-    const earlier = await this.findChange(request.changeId, deadline)
-    if (!earlier.ok) return new Err({ kind: 'failed', error: earlier.val })
-    if (earlier.val !== undefined) return new Ok(earlier.val)
+    const existing = await this.findChange(request.changeId, deadline)
+    if (!existing.ok) return new Err({ kind: 'failed', error: existing.val })
+    if (existing.val !== undefined) return new Ok(existing.val)
     const merged = await this.merge(current.val.configuration, request, deadline)
     if (!merged.ok) return merged
     return await this.write(current.val, merged.val, request, deadline)
@@ -128,10 +130,10 @@
   }
 
   private async removeUnused (): Promise<void> {
-    const old = await this.configurations.removeOld(createDeadline(this.clock.now(), WRITE_SPAN_MS))
-    const orphans = await this.configurations.removeOrphans(createDeadline(this.clock.now(), WRITE_SPAN_MS))
-    // What is left over is removed after the next patch.
-    for (const result of [old, orphans]) {
+    const expired = await this.configurations.removeExpiredHistory(createDeadline(this.clock.now(), WRITE_TIMEOUT_MS))
+    const orphans = await this.configurations.removeOrphanedBodies(createDeadline(this.clock.now(), WRITE_TIMEOUT_MS))
+    // Keys that could not be removed now are removed after the next patch.
+    for (const result of [expired, orphans]) {
       if (!result.ok) logError(this.logger, LogLevel.Warn, result.val)
     }
   }
@@ -145,19 +147,19 @@
   }
 
   /**
-   * If the last node that had a version is gone before anybody fetched it, waiting
-   * for it would refuse every patch for ever; after a while the next one only
-   * skips its number.
+   * Whether a peer has recently reported a newer version. If the only node with that
+   * version is lost before any other node fetched it, waiting for it would block all
+   * patches forever. So after a timeout its version number is only skipped.
    */
   private isPeerAhead (): boolean {
     const seenAt = this.keeper.lastAheadSeenAt
-    return seenAt !== undefined && !hasPassed(createDeadline(seenAt, AHEAD_SPAN_MS), this.clock.now())
+    return seenAt !== undefined && !hasPassed(createDeadline(seenAt, PEER_AHEAD_TIMEOUT_MS), this.clock.now())
   }
 
   /**
-   * The newest configuration: the store's, or the one in force here if the store
-   * was restored from an older state. While a peer has a number above both, this
-   * daemon waits until it has that version too.
+   * Reads the newest configuration: the store's, or the one in force here if the store
+   * was restored from a backup. Fails while a peer has a newer version than both,
+   * until this daemon has received that version.
    */
   private async readCurrent (deadline: Deadline): Promise<Result<CurrentState, StepError>> {
     const stored = await this.configurations.readHead(deadline)
@@ -165,7 +167,7 @@
     const storedVersion = stored.val?.head.version ?? 0
     const newest = Math.max(storedVersion, this.keeper.version)
     if (this.keeper.highestSeen > newest && this.isPeerAhead()) {
-      return new Err(new StepError({ code: ErrorCode.Unavailable, step: 'read-current', peer: 'local', message: `a peer has version ${this.keeper.highestSeen}, this daemon only ${newest}; try again` }))
+      return new Err(new StepError({ code: ErrorCode.Unavailable, step: 'read-current', peer: 'local', message: `a peer has version ${this.keeper.highestSeen}, but this daemon only has ${newest}; try again` }))
     }
     const inForce = this.keeper.current
     if (inForce !== undefined && inForce.head.version > storedVersion) return new Ok({ stored: stored.val, configuration: inForce })
@@ -175,9 +177,9 @@
   }
 
   /**
-   * @param head which version
+   * @param head the head of the version to read
    * @param deadline when to give up
-   * @returns the configuration, from memory if it is the one in force
+   * @returns the configuration, taken from memory if it is the one in force
    */
   async readVersion (head: ConfigurationHead, deadline: Deadline): Promise<Result<VersionedConfiguration, StepError>> {
     const current = this.keeper.current
@@ -186,15 +188,15 @@
     if (!text.ok) return text
     const body = validateConfiguration(JSON.parse(text.val.text))
     if (body.ok) return new Ok({ head, body: body.val })
-    return new Err(new StepError({ code: ErrorCode.Invalid, step: 'read-body', peer: 'store', message: `version ${head.version} breaks the schema` }))
+    return new Err(new StepError({ code: ErrorCode.Invalid, step: 'read-body', peer: 'store', message: `version ${head.version} does not match the schema` }))
   }
 
-  private async merge (current: VersionedConfiguration, request: Pick<PatchRequest, 'baseVersion' | 'patch'>, deadline: Deadline, isRoomChecked = true): Promise<Result<SteeringConfiguration, PatchFailure>> {
+  private async merge (current: VersionedConfiguration, request: Pick<PatchRequest, 'baseVersion' | 'patch'>, deadline: Deadline, isCapacityChecked = true): Promise<Result<SteeringConfiguration, PatchFailure>> {
     const isStale = request.baseVersion !== current.head.version
     const base = isStale ? await this.readBase(request.baseVersion, deadline) : current.body
     const merged = applyPatch(current, base, request)
     if (!merged.ok) return new Err({ kind: 'refused', refusal: merged.val, currentVersion: current.head.version })
-    const problems = current.head.version === 0 || !isRoomChecked ? [] : this.checkResult(current.body, merged.val)
+    const problems = current.head.version === 0 || !isCapacityChecked ? [] : this.checkResult(current.body, merged.val)
     if (problems.length === 0) return new Ok(merged.val)
     const message = problems.map((problem) => problem.message).join('; ')
     const refusal = { kind: PatchRefusalKind.InvalidResult, message, baseVersion: request.baseVersion, currentVersion: current.head.version, conflictingPaths: [], problems }
@@ -211,7 +213,7 @@
   }
 }
 
-/** Reason a refusal maps to in problem documents. */
+/** HTTP status by reason of refusal. */
 export const REFUSAL_STATUS: Readonly<Record<PatchRefusalKind, number>> = {
   [PatchRefusalKind.StaleBase]: 409,
   [PatchRefusalKind.InvalidResult]: 422,
--- a/packages/daemon/src/node/daemon.ts
+++ b/packages/daemon/src/node/daemon.ts
@@ -1,4 +1,4 @@
-/** One `umberspard`: puts its parts together, starts them, and stops them in order. */
+/** One `umberspard` daemon: creates its parts, starts them, and stops them in order. */
 import type { IClock } from '@umberspar/base/common/clock'
 import { CloseStack, type IClosable } from '@umberspar/base/common/closing'
 import { runDetached } from '@umberspar/base/common/detached'
@@ -27,19 +27,19 @@
 import { LookupLifetime } from './stop/lookupLifetime.js'
 import { DaemonTls, TlsSide } from './tls/daemonTls.js'
 
-/** In so many rounds of heartbeats word of a state goes round a large fleet. */
-const SPREAD_ROUNDS = 4
+/** Number of heartbeat rounds in which a state propagates through a large fleet. */
+const PROPAGATION_ROUNDS = 4
 
-/** What a daemon takes from outside. */
+/** Services that a daemon uses, some of them replaceable in tests. */
 export interface DaemonDependencies {
   readonly logger: ILogger
   readonly clock?: IClock
   readonly random?: IRandomSource
-  /** How long requests may wait for a slot; for measurements. */
+  /** How long requests may wait for a slot; set only by measurements. */
   readonly admission?: AdmissionPolicy
 }
 
-/** Addresses on which a daemon listens. */
+/** The addresses on which a daemon listens. */
 export interface DaemonAddresses {
   readonly callers: string
   readonly peers: string
@@ -54,12 +54,12 @@
   private callers: HttpListener | undefined
   private listening: DaemonAddresses | undefined
   private readonly lifetime = new LookupLifetime()
-  private leaving: DaemonStop | undefined
+  private stopController: DaemonStop | undefined
   private stopping: Promise<StopReport> | undefined
-  /** Set before the stop's first step runs, whose change of state is not to be undone by the VM list. */
+  /** Set before the first shutdown step, so that the VM list doesn't revert the state that the step sets. */
   private isStopping = false
-  private hasAskedAll = false
-  /** Once the first table of client blocks is built; later ones replace a whole one. */
+  private hasCompletedInitialSync = false
+  /** Set once the first table of client blocks is built. Later tables replace it when they are complete. */
   private hasClientBlocks = false
 
   constructor (
@@ -70,12 +70,12 @@
     private readonly admission?: AdmissionPolicy
   ) {}
 
-  /** @returns where it listens, once started */
+  /** @returns the addresses on which it listens, once started */
   get addresses (): DaemonAddresses | undefined {
     return this.listening
   }
 
-  /** @returns whether it has a configuration and serves callers */
+  /** @returns whether it has everything it needs to serve callers */
   isReady (): boolean {
     const parts = this.parts
     if (parts?.keeper.current === undefined || parts.peerService.state !== NodeState.Live) return false
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Opens the listeners, then learns members and configuration. It listens
-   * before it is ready: probes and operators can see why it is not.
-   * @returns once it listens and has asked the platform for the first time
+   * Opens the listeners, then loads members and configuration. It listens before it
+   * is ready, so that probes and operators can see why it isn't ready.
+   * @returns a promise that settles when it listens and has read the VM list, peers and the store once
    */
   async start (): Promise<Result<void, StepError>> {
     const digester = await createDigester()
@@ -97,7 +97,7 @@
     const metrics = this.createMetrics()
     const parts = createDaemonParts({ settings: this.settings, digester, logger: this.logger, metrics, clock: this.clock, random: this.random, tls, admission: this.admission }, this.owned)
     this.parts = parts
-    this.leaving = this.createStop(parts)
+    this.stopController = this.createStop(parts)
     parts.keeper.onDidAdopt(() => this.applyState())
     parts.members.onDidChange(() => this.applyState())
     const opened = await this.openListeners(parts, tls, metrics)
@@ -106,12 +106,12 @@
       return opened
     }
     await parts.members.start()
-    // Peers before the store: they show a version that a restored store no longer
-    // has, and spare the store a read for each node when all start at once.
+    // Peers are asked before the store: they may have a version that a restored store
+    // lacks, and they save the store one read per node when all nodes start at once.
     await parts.heartbeats.start()
     await parts.planWatcher.start()
     await parts.watcher.start()
-    this.hasAskedAll = true
+    this.hasCompletedInitialSync = true
     parts.limits.start((peerId) => parts.peerService.buildDigest(peerId))
     parts.prober.start()
     parts.planHolder.start()
@@ -120,9 +120,9 @@
   }
 
   /**
-   * Stops without harm to callers: out of look-ups first, then it serves until
-   * cached look-ups have run out and the last open request has ended.
-   * @returns how many requests were cut off: none unless `stopWaiting` was called
+   * Shuts down gracefully: leaves look-ups first, then serves until cached look-ups
+   * have expired and the last open request has ended.
+   * @returns how many requests were aborted: none unless `stopWaiting` was called or a time limit passed
    */
   stop (): Promise<StopReport> {
     if (this.stopping !== undefined) return this.stopping
@@ -131,23 +131,23 @@
     return this.stopping
   }
 
-  /** Ends a stop that waits: what is still open is cut off. */
+  /** Forces a shutdown in progress: requests that are still open are aborted. */
   stopWaiting (): void {
-    this.leaving?.stopWaiting()
+    this.stopController?.stopWaiting()
   }
 
-  /** Reads all certificates again, as after SIGHUP; broken ones are logged and the old ones stay. */
+  /** Reloads all certificates, as on SIGHUP. Invalid ones are logged, and the previous ones stay in use. */
   async renewCertificates (): Promise<void> {
     await this.tls?.renew()
   }
 
-  /** Ends everything at once, open requests too. */
+  /** Closes everything at once, including open requests. */
   async close (): Promise<void> {
     await this.owned.close()
   }
 
   private async runStop (): Promise<StopReport> {
-    const report = await this.leaving?.run() ?? { cutRequests: 0 }
+    const report = await this.stopController?.run() ?? { cutRequests: 0 }
     await this.close()
     this.logger.log(LogLevel.Info, { step: 'stop', ...report }, 'stopped')
     return report
@@ -161,7 +161,7 @@
         this.applyState()
       },
       publishState: () => this.publishState(parts),
-      getSpreadSpanMs: () => computeRoundSpan(parts.members.list().length) * SPREAD_ROUNDS,
+      getPropagationTimeMs: () => computeRoundSpan(parts.members.list().length) * PROPAGATION_ROUNDS,
       stopListening: () => this.callers?.stop(),
       countOpenRequests: () => parts.requests.inFlight,
       countConnections: async () => await this.callers?.countConnections() ?? 0
@@ -169,7 +169,7 @@
     return new DaemonStop(target, this.lifetime, this.clock, this.logger)
   }
 
-  /** In a small fleet everybody is told; in a large one the neighbours, and word goes round. */
+  /** Sends this node's state to all nodes of a small fleet. In a large one only neighbours receive it, and it propagates from them. */
   private async publishState (parts: DaemonParts): Promise<boolean> {
     const others = parts.members.listActive().filter(({ nodeId }) => nodeId !== this.settings.nodeId)
     if (others.length < SMALL_FLEET) return await parts.heartbeats.sendToAll(others.map(({ nodeId }) => nodeId))
@@ -177,14 +177,14 @@
     return false
   }
 
-  /** The platform's word that this VM will go takes it out of look-ups; taken back, it returns. */
-  private applyOwnVm (parts: DaemonParts): void {
+  /** Applies this VM's state in the VM list: when the platform announces its removal, it leaves look-ups, and it returns if that is withdrawn. */
+  private applyOwnVmState (parts: DaemonParts): void {
     const { peerService, members } = parts
     if (peerService.state === NodeState.Joining && this.canGoLive(parts)) peerService.state = NodeState.Live
     const listed = members.list().find((member) => member.vm.vmId === this.settings.nodeId)?.vm.state
     if (this.isStopping || listed === undefined) return
     if (listed === VmState.Live && peerService.state === NodeState.Leaving) peerService.state = NodeState.Live
-    else if (listed === VmState.Leaving && peerService.state === NodeState.Live) runDetached(() => this.leaving!.leave(), this.logger, 'leave')
+    else if (listed === VmState.Leaving && peerService.state === NodeState.Live) runDetached(() => this.stopController!.leave(), this.logger, 'leave')
   }
 
   private createMetrics (): IMetrics {
@@ -212,12 +212,12 @@
     return new Ok(undefined)
   }
 
-  /** Brings look-ups, places, plans and probes in line with what is in force now. */
+  /** Updates look-ups, places, plans and probes to the current configuration and members. */
   private applyState (): void {
     const parts = this.parts
     const current = parts?.keeper.current
     if (parts === undefined || current === undefined) return
-    this.applyOwnVm(parts)
+    this.applyOwnVmState(parts)
     this.lifetime.update(current.body.lookupCacheMs, this.clock.now())
     const nodes = this.listNodes(parts)
     const roster = nodes.map((node) => ({ ...node, state: NodeState.Live }))
@@ -233,12 +233,12 @@
   }
 
   /**
-   * A node that served with the first version it meets could serve an older one
-   * than before its restart; so it asks its neighbours and the store first.
-   * Without the VM list it would take itself for the only node.
+   * Whether this node may start serving. It asks its neighbours and the store first,
+   * because the first version that it receives could be older than the one it served
+   * before a restart. Without the VM list it would act as if it were the only node.
    */
   private canGoLive (parts: DaemonParts): boolean {
-    return this.hasAskedAll && parts.members.isListed
+    return this.hasCompletedInitialSync && parts.members.isListed
   }
 
   private listNodes (parts: DaemonParts): LookupNode[] {
@@ -260,9 +260,9 @@
 }
 
 /**
- * @param settings checked settings
- * @param dependencies logger, and clock and randomness for tests
- * @returns a daemon that is not started yet
+ * @param settings the validated settings
+ * @param dependencies the logger, and optionally a clock and a random source for tests
+ * @returns a daemon that hasn't been started
  */
 export function createDaemon (settings: DaemonSettings, dependencies: DaemonDependencies): Daemon {
   const logger = dependencies.logger.createChild({ node: settings.nodeId })
--- a/packages/daemon/src/node/daemonParts.ts
+++ b/packages/daemon/src/node/daemonParts.ts
@@ -1,4 +1,4 @@
-/** Creates the parts of a daemon and hands their ownership to one stack. */
+/** Creates the parts of a daemon and registers them to be closed. */
 import type { CloseStack } from '@umberspar/base/common/closing'
 import { runDetached } from '@umberspar/base/common/detached'
 import { PeerClient } from '@umberspar/adapters/node/peers/peerClient'
@@ -59,9 +59,9 @@
 }
 
 /**
- * @param inputs settings and ports
- * @param owned closes the parts, the last created first
- * @returns the parts, nothing started yet
+ * @param inputs the settings and services
+ * @param owned closes the parts in reverse order of their creation
+ * @returns the parts, none of them started
  */
 export function createDaemonParts (inputs: PartInputs, owned: CloseStack): DaemonParts {
   const control = createControlParts(inputs, owned)
--- a/packages/daemon/src/node/dedup/deduplicator.ts
+++ b/packages/daemon/src/node/dedup/deduplicator.ts
@@ -1,4 +1,4 @@
-/** Claims Idempotency-Keys for requests of services that ask for it, and says what refused ones are told. */
+/** Claims Idempotency-Keys for requests of services with deduplication, and builds the responses to duplicate requests. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
@@ -17,25 +17,25 @@
 import { createHash, randomUUID } from 'node:crypto'
 import type { RequestContext } from '../request/requestContext.js'
 
-/** Header of the key, in lower case. */
-export const KEY_HEADER = 'idempotency-key'
+/** Name of the header with the key, in lower case. */
+export const IDEMPOTENCY_KEY_HEADER = 'idempotency-key'
 const MAX_KEY_LENGTH = 255
 const CLAIM_STEP = 'claim-key'
-/** How long the end of a daemon waits for ends of claims to be written, in milliseconds. */
-const CLOSE_SPAN = 1_000
+/** How long a closing daemon waits until the outcomes of claims are written. */
+const CLOSE_TIMEOUT_MS = 1_000
 const MS_PER_SECOND = 1000
-const MAX_RETRY_AFTER = 30
-/** Of the first request's time left, the part after which a caller may ask again. */
-const PART_OF_WAIT = 0.25
+const MAX_RETRY_AFTER_SECONDS = 30
+/** Ratio of the first request's remaining time after which a duplicate request may be retried. */
+const RETRY_AFTER_RATIO = 0.25
 /**
- * Told while a release is not known to be written, in seconds: a write that gets
- * no answer takes 2 s, and the next one begins at most 1.5 s later.
+ * Retry-After while a claim may not have been released in the store: a write without
+ * a response times out after 2 s, and is retried at most 1.5 s later.
  */
-const UNRELEASED_RETRY_AFTER = 5
-const UNRELEASED_JITTER = 3
+const UNRELEASED_RETRY_AFTER_SECONDS = 5
+const UNRELEASED_RETRY_JITTER_SECONDS = 3
 
-/** What a deduplicator works with. */
-export interface DeduplicatorParts {
+/** The services and settings that a deduplicator uses. */
+export interface DeduplicatorDependencies {
   readonly store: IKeyValueStore
   readonly clock: IClock
   readonly random: IRandomSource
@@ -43,66 +43,66 @@
   readonly keyPrefix: string
   readonly nodeId: string
   readonly incarnation: number
-  /** Entry VMs that share the store's rate. */
+  /** Returns the number of entry VMs that share the store's rate limit. */
   readonly countNodes: () => number
 }
 
-/** Why a request was not sent anywhere. */
+/** Why a request was not sent to an upstream. */
 export interface ClaimRefusal {
   readonly kind: ProblemKind
   readonly outcome: Outcome
   readonly error: StepError
   readonly retryAfterSeconds?: number
-  /** Said of the first request, beside the problem's standard members. */
+  /** Extension members of the problem document that describe the first request. */
   readonly members?: Readonly<Record<string, unknown>>
 }
 
-type RefusalOf = (existing: ClaimRecord | undefined) => ClaimRefusal
+type RefusalBuilder = (existing: ClaimRecord | undefined) => ClaimRefusal
 
-/** Deduplication of one daemon's requests. */
+/** Deduplicates one daemon's requests by their Idempotency-Key. */
 export class Deduplicator implements IClosable {
   private readonly keeper: ClaimKeeper
 
-  private readonly refusalByDecision: Readonly<Record<Exclude<ClaimDecision, ClaimDecision.TakeOver>, RefusalOf>> = {
+  private readonly refusalByDecision: Readonly<Record<Exclude<ClaimDecision, ClaimDecision.TakeOver>, RefusalBuilder>> = {
     [ClaimDecision.Running]: (existing) => ({
       kind: ProblemKind.RequestRunning,
       outcome: Outcome.Unknown,
       error: this.createError(ErrorCode.Conflict, 'the first request with this key may still be running'),
-      retryAfterSeconds: this.computeWait(existing)
+      retryAfterSeconds: this.computeRunningRetryAfter(existing)
     }),
     [ClaimDecision.AlreadyRan]: (existing) => ({
       kind: ProblemKind.AlreadyRan,
       outcome: Outcome.Done,
-      error: this.createError(ErrorCode.Conflict, 'the first request with this key has run; its answer is not kept'),
+      error: this.createError(ErrorCode.Conflict, 'the first request with this key has run; its response is not stored'),
       members: { firstStatus: existing?.status }
     }),
     [ClaimDecision.OutcomeUnknown]: () => ({
       kind: ProblemKind.DuplicateRequest,
       outcome: Outcome.Unknown,
-      error: this.createError(ErrorCode.Conflict, 'the first request with this key may have run; it will not be run again')
+      error: this.createError(ErrorCode.Conflict, 'the first request with this key may have run and will not be run again')
     }),
     [ClaimDecision.KeyReused]: () => ({
       kind: ProblemKind.KeyReused,
       outcome: Outcome.NotRun,
-      error: this.createError(ErrorCode.Invalid, 'this key was used with another method or path')
+      error: this.createError(ErrorCode.Invalid, 'this key was already used with another method or path')
     })
   }
 
-  constructor (private readonly parts: DeduplicatorParts) {
-    const { clock, countNodes, metrics } = parts
+  constructor (private readonly dependencies: DeduplicatorDependencies) {
+    const { clock, countNodes, metrics } = dependencies
     const calls = new StoreCallBudget(clock, countNodes)
-    this.keeper = new ClaimKeeper({ ...parts, calls, onCall: () => { metrics.count('dedup.store-calls', 1) } })
+    this.keeper = new ClaimKeeper({ ...dependencies, calls, onCall: () => { metrics.count('dedup.store-calls', 1) } })
   }
 
   /**
    * Claims the key of a request that must not run twice.
    * @param context the request
    * @param key its Idempotency-Key, if any
-   * @returns the claim; undefined if the request needs none; or why it must not be sent
+   * @returns the claim, or undefined if the request needs none; or why the request must not be sent
    */
   async claim (context: RequestContext, key: string | undefined): Promise<Result<HeldClaim | undefined, ClaimRefusal>> {
     if (!context.settings.deduplicate || context.isIdempotent || key === undefined) return new Ok(undefined)
-    if (key.length === 0 || key.length > MAX_KEY_LENGTH) return new Err(this.createBadKey())
+    if (key.length === 0 || key.length > MAX_KEY_LENGTH) return new Err(this.createInvalidKeyRefusal())
     const answer = await this.keeper.claim({
       service: context.service,
       keyHash: computeHash(key),
@@ -112,36 +112,36 @@
     })
     const { service } = context
     const result = answer.kind === ClaimAnswerKind.Refused ? answer.decision : answer.kind
-    this.parts.metrics.count('dedup.claims', 1, { service, result })
+    this.dependencies.metrics.count('dedup.claims', 1, { service, result })
     return this.toResult(answer)
   }
 
   /**
-   * Records how a claimed request ended that ran or may have run. Each claim is finished or released, once.
+   * Records the outcome of a claimed request that ran or may have run. Each claim must be either finished or released, once.
    * @param claim the claim
    * @param outcome how the request ended
-   * @param status the upstream's status, if it answered
+   * @param status the status of the upstream's response, if any
    */
   finish (claim: HeldClaim, outcome: Outcome.Done | Outcome.Unknown, status?: number): void {
     this.keeper.finish(claim, outcome, status)
-    this.parts.metrics.set('dedup.pending-ends', this.keeper.pendingEnds)
+    this.dependencies.metrics.set('dedup.pending-ends', this.keeper.pendingEnds)
   }
 
   /**
-   * Frees the key of a request that did not run, before its caller is told so.
+   * Releases the key of a request that did not run, before the caller is told so.
    * @param claim the claim
-   * @param deadline the caller's
-   * @returns the least Retry-After in seconds; undefined if the key is free now
+   * @param deadline the caller's deadline
+   * @returns the minimum Retry-After in seconds, or undefined if the key was released
    */
   async release (claim: HeldClaim, deadline: Deadline): Promise<number | undefined> {
     const isReleased = await this.keeper.release(claim, deadline)
-    this.parts.metrics.set('dedup.pending-ends', this.keeper.pendingEnds)
-    return isReleased ? undefined : this.computeUnreleasedWait()
+    this.dependencies.metrics.set('dedup.pending-ends', this.keeper.pendingEnds)
+    return isReleased ? undefined : this.computeUnreleasedRetryAfter()
   }
 
-  /** Writes the ends that are not written yet, for at most a second. */
+  /** Waits at most one second for the outcomes that are not written yet. */
   async close (): Promise<void> {
-    if (this.keeper.pendingEnds > 0) await this.keeper.settle(createDeadline(this.parts.clock.now(), CLOSE_SPAN))
+    if (this.keeper.pendingEnds > 0) await this.keeper.settle(createDeadline(this.dependencies.clock.now(), CLOSE_TIMEOUT_MS))
     this.keeper.close()
   }
 
@@ -150,26 +150,27 @@
     if (answer.kind === ClaimAnswerKind.Refused) return new Err(this.refusalByDecision[answer.decision](answer.existing))
     const isOverRate = answer.kind === ClaimAnswerKind.OverRate
     const error = isOverRate
-      ? this.createError(ErrorCode.Exhausted, 'this entry VM may make no more claims now')
-      : this.createError(ErrorCode.Unavailable, 'the key-value service did not take the claim in time')
-    const retryAfterSeconds = isOverRate || answer.isReleased ? computeRetryAfter(undefined, this.parts.random.next()) : this.computeUnreleasedWait()
+      ? this.createError(ErrorCode.Exhausted, 'this entry VM has reached its rate limit for claims')
+      : this.createError(ErrorCode.Unavailable, 'the store did not accept the claim in time')
+    const retryAfterSeconds = isOverRate || answer.isReleased ? computeRetryAfter(undefined, this.dependencies.random.next()) : this.computeUnreleasedRetryAfter()
     return new Err({ kind: ProblemKind.ClaimUnavailable, outcome: Outcome.NotRun, error, retryAfterSeconds })
   }
 
   /**
-   * A part of the first request's time left: it usually ends long before its
-   * deadline, and its caller, whose deadline is the same, must learn of it before.
+   * Computes the Retry-After while the first request is running. It is a fraction of
+   * that request's remaining time: the request usually ends long before its deadline,
+   * and the retrying caller has the same deadline and must get the result before it.
    */
-  private computeWait (existing: ClaimRecord | undefined): number {
-    const waitMs = ((existing?.endsByWallMs ?? 0) - this.parts.clock.getWallTime()) * PART_OF_WAIT
-    return Math.min(MAX_RETRY_AFTER, Math.max(1, Math.ceil(waitMs / MS_PER_SECOND)))
+  private computeRunningRetryAfter (existing: ClaimRecord | undefined): number {
+    const waitMs = ((existing?.endsByWallMs ?? 0) - this.dependencies.clock.getWallTime()) * RETRY_AFTER_RATIO
+    return Math.min(MAX_RETRY_AFTER_SECONDS, Math.max(1, Math.ceil(waitMs / MS_PER_SECOND)))
   }
 
-  private computeUnreleasedWait (): number {
-    return UNRELEASED_RETRY_AFTER + Math.floor(UNRELEASED_JITTER * this.parts.random.next())
+  private computeUnreleasedRetryAfter (): number {
+    return UNRELEASED_RETRY_AFTER_SECONDS + Math.floor(UNRELEASED_RETRY_JITTER_SECONDS * this.dependencies.random.next())
   }
 
-  private createBadKey (): ClaimRefusal {
+  private createInvalidKeyRefusal (): ClaimRefusal {
     const error = this.createError(ErrorCode.Invalid, `Idempotency-Key: expected 1 to ${MAX_KEY_LENGTH} characters`)
     return { kind: ProblemKind.BadRequest, outcome: Outcome.NotRun, error }
   }
@@ -179,7 +180,7 @@
   }
 }
 
-/** SHA-256: a caller must not be able to make a key that collides with another's. */
+/** Uses SHA-256, so that a caller can't construct a key that collides with another caller's. */
 function computeHash (text: string): string {
   return createHash('sha256').update(text).digest('hex')
 }
--- a/packages/daemon/src/node/httpListener.ts
+++ b/packages/daemon/src/node/httpListener.ts
@@ -1,4 +1,4 @@
-/** One HTTP or HTTPS listener with limits on its senders, that closes without cutting off what is open. */
+/** An HTTP or HTTPS listener that limits its clients and can be stopped without aborting open requests. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { ErrorCode, StepError, toStepError } from '@umberspar/base/common/errors'
@@ -15,38 +15,38 @@
 import type { Duplex } from 'node:stream'
 import { BodyProgress } from './listener/bodyProgress.js'
 import { ConnectionLimits } from './listener/connectionLimits.js'
-import { checkRequest } from './listener/requestGate.js'
-import { answerRefusal, CONNECT_REFUSAL } from './listener/refusalAnswer.js'
+import { checkRequest } from './listener/requestChecks.js'
+import { sendRefusal, CONNECT_REFUSAL_RESPONSE } from './listener/refusalResponse.js'
 
 const ADDRESS_PATTERN = /^\[?(.*?)\]?:(\d+)$/
-/** Expired headers and idle connections are looked for this often. */
-const MAX_CHECK_SPAN_MS = 1000
+/** Maximum interval between checks for header timeouts and idle connections. */
+const MAX_CHECK_INTERVAL_MS = 1000
 
-/** How a listener differs from plain HTTP with the usual limits. */
+/** Options of a listener. By default it uses plain HTTP and the default limits. */
 export interface HttpListenerOptions {
   readonly limits?: ListenerLimits | undefined
-  /** Certificates; with a CA, clients must show a certificate of it. */
+  /** TLS certificates. With a CA, clients must present a certificate issued by it. */
   readonly tls?: TlsKeeper | undefined
-  /** Whether an address carries many clients and may open any number of connections. */
+  /** Whether an address is a proxy for many clients and may open any number of connections. */
   readonly isForwarder?: (address: string) => boolean
   readonly clock?: IClock
-  /** For failures that no handler expected. */
+  /** Logs unexpected failures of handlers. */
   readonly logger?: ILogger
-  /** Counts what is refused as `listener.refused`, by listener and reason. */
+  /** Counts refused requests and connections as `listener.refused`, by listener and reason. */
   readonly metrics?: IMetrics
 }
 
-/** A listening HTTP server. */
+/** An HTTP or HTTPS server with limits. */
 export class HttpListener implements IClosable {
   private readonly server: Server | TlsServer
   private readonly limits: ListenerLimits
-  private readonly bodies: BodyProgress
+  private readonly bodyProgress: BodyProgress
   private readonly connections: ConnectionLimits
   private readonly logger: ILogger
   private readonly metrics: IMetrics
-  /** Connections that end with the answer to a refused request. */
-  private readonly refused = new WeakSet<Socket>()
-  private readonly renewal: IClosable | undefined
+  /** Connections that are being closed after the response to a refused request. */
+  private readonly refusedSockets = new WeakSet<Socket>()
+  private readonly tlsSubscription: IClosable | undefined
 
   constructor (
     private readonly name: string,
@@ -56,23 +56,23 @@
     this.limits = options.limits ?? DEFAULT_LISTENER_LIMITS
     this.logger = options.logger ?? NULL_LOGGER
     this.metrics = options.metrics ?? NULL_METRICS
-    this.bodies = new BodyProgress(options.clock ?? new SystemClock(), this.limits.bodyProgressWithinMs, this.limits.minBodyBytes, () => { this.countRefusal('stalled-body') })
+    this.bodyProgress = new BodyProgress(options.clock ?? new SystemClock(), this.limits.bodyProgressWithinMs, this.limits.minBodyBytes, () => { this.countRefusal('stalled-body') })
     this.connections = new ConnectionLimits(this.limits.maxConnectionsPerAddress, options.isForwarder ?? (() => false), () => { this.countRefusal('address-limit') })
     this.server = this.createServer(options.tls)
-    this.renewal = options.tls?.onDidChange((material) => { (this.server as TlsServer).setSecureContext(toContextOptions(material)) })
+    this.tlsSubscription = options.tls?.onDidChange((material) => { (this.server as TlsServer).setSecureContext(toContextOptions(material)) })
     this.server.maxConnections = this.limits.maxConnections
     this.server.maxRequestsPerSocket = this.limits.maxRequestsPerConnection
-    // Node.js drops fields above its own limit unseen; the gate counts them and refuses.
+    // Node.js silently drops header fields above its own limit. `checkRequest` counts and refuses them instead.
     this.server.maxHeadersCount = 0
     this.server.on('drop', () => { this.countRefusal('connection-limit') })
     this.server.on('connection', (socket: Socket) => { this.connections.accept(socket) })
-    // Without a listener Node.js resets the connection; the caller would not learn why.
-    this.server.on('connect', (_request: IncomingMessage, socket: Duplex) => { socket.end(CONNECT_REFUSAL) })
+    // Without a handler Node.js resets the connection, and the caller wouldn't learn why.
+    this.server.on('connect', (_request: IncomingMessage, socket: Duplex) => { socket.end(CONNECT_REFUSAL_RESPONSE) })
   }
 
   /**
-   * @param address `host:port`; port 0 lets the system choose
-   * @returns the address it listens on
+   * @param address `host:port`; with port 0 the system chooses a port
+   * @returns the address on which it listens
    */
   async listen (address: string): Promise<Result<string, StepError>> {
     const { host, port } = splitAddress(address)
@@ -87,21 +87,21 @@
     })
   }
 
-  /** @returns connections that are open */
+  /** @returns the number of open connections */
   countConnections (): Promise<number> {
     return new Promise((resolve) => { this.server.getConnections((failure, count) => resolve(failure ? 0 : count)) })
   }
 
-  /** Takes no new connections and ends idle ones; open requests go on. */
+  /** Stops accepting connections and closes idle ones; open requests continue. */
   stop (): void {
     if (this.server.listening) this.server.close()
     this.server.closeIdleConnections()
   }
 
-  /** Ends everything, open requests too. */
+  /** Closes all connections, including those with open requests. */
   async close (): Promise<void> {
-    this.renewal?.close()
-    this.bodies.close()
+    this.tlsSubscription?.close()
+    this.bodyProgress.close()
     if (this.server.listening) this.server.close()
     this.server.closeAllConnections()
   }
@@ -114,42 +114,43 @@
     const { headersWithinMs, idleWithinMs, maxHeaderBytes } = this.limits
     const options: ServerOptions = {
       insecureHTTPParser: false,
-      // The gate does it; Node.js would go on with the requests that follow on the connection.
+      // `checkRequest` checks it. Node.js would continue with the next requests on the connection.
       requireHostHeader: false,
       maxHeaderSize: maxHeaderBytes,
       headersTimeout: headersWithinMs,
-      connectionsCheckingInterval: Math.min(headersWithinMs, MAX_CHECK_SPAN_MS),
+      connectionsCheckingInterval: Math.min(headersWithinMs, MAX_CHECK_INTERVAL_MS),
       keepAliveTimeout: idleWithinMs,
-      // Bodies are bounded by their progress and the request's deadline, not by a span from the start.
+      // Bodies are limited by their progress and the request's deadline, not by the time since the start.
       requestTimeout: 0
     }
     const handle: RequestListener = (request, response) => { this.handle(request, response) }
     if (tls === undefined) return createServer(options, handle)
     const server = createTlsServer({ ...options, ...toContextOptions(tls.current), handshakeTimeout: headersWithinMs, requestCert: tls.hasCa, rejectUnauthorized: tls.hasCa }, handle)
-    // A client that speaks no TLS or shows no certificate is its own fault; its socket is gone already.
+    // A client that doesn't use TLS or presents no certificate. Its socket is already unusable.
     server.on('tlsClientError', (_error, socket) => { socket.destroy() })
     return server
   }
 
   private handle (request: IncomingMessage, response: ServerResponse): void {
-    // Node.js has parsed what came in the same packet and hands it over although the
-    // connection is to be closed: a smuggled request would run. Nothing runs after a refusal.
-    if (this.refused.has(request.socket)) return
+    // After a refusal Node.js still delivers requests that were received in the same
+    // packet, although the connection is being closed. They could be smuggled requests.
+    if (this.refusedSockets.has(request.socket)) return
     const refusal = checkRequest(request, this.limits)
     if (refusal !== undefined) {
-      this.refused.add(request.socket)
+      this.refusedSockets.add(request.socket)
       this.countRefusal(`status-${refusal.status}`)
-      answerRefusal(response, refusal)
+      sendRefusal(response, refusal)
       return
     }
-    this.bodies.watch(request)
+    this.bodyProgress.watch(request)
     this.runHandler(request, response)
   }
 
   /**
-   * Routes neither catch nor await what their handlers throw: one request that
-   * makes a handler fail would end the process, and with it every other caller's
-   * request. Here it breaks its own connection only; whether it ran is unknown.
+   * Catches everything that the handler throws, because the router doesn't: a request
+   * that makes a handler throw would end the process and abort every other caller's
+   * request. Instead only its own connection is destroyed; whether the request ran is
+   * unknown.
    */
   private runHandler (request: IncomingMessage, response: ServerResponse): void {
     const handleFailure = (thrown: unknown): void => {
@@ -166,7 +167,7 @@
 
 /**
  * @param address `host:port` or `[v6]:port`
- * @returns its parts
+ * @returns the host and the port
  */
 export function splitAddress (address: string): { host: string, port: number } {
   const match = ADDRESS_PATTERN.exec(address)
--- a/packages/daemon/src/node/listener/bodyProgress.ts
+++ b/packages/daemon/src/node/listener/bodyProgress.ts
@@ -1,91 +1,91 @@
 /**
- * Ends requests whose body does not come on. A sender that gives one byte a
- * minute would hold a slot of a worker until its deadline; an honest slow upload
- * (a phone in a basement) makes some progress in every span and goes on.
+ * Aborts requests whose body stalls. A client that sends one byte a minute would
+ * occupy a worker's slot until the request's deadline. A legitimate slow upload (a
+ * phone with poor reception) makes some progress in every interval and continues.
  */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import type { IncomingMessage } from 'node:http'
 
-/** Looks this often within one span. */
-const LOOKS_PER_SPAN = 8
+/** How often all bodies are checked within one interval. */
+const CHECKS_PER_INTERVAL = 8
 
-interface OpenBody {
+interface WatchedBody {
   readonly request: IncomingMessage
-  /** Bytes of the connection at the last check. */
-  bytesThen: number
-  checkAt: Deadline
+  /** Bytes received on the connection at the last check. */
+  bytesAtLastCheck: number
+  nextCheckAt: Deadline
 }
 
-/** Watches the bodies that are being received. */
+/** Monitors the request bodies that are being received. */
 export class BodyProgress implements IClosable {
-  private readonly open = new Set<OpenBody>()
+  private readonly watched = new Set<WatchedBody>()
   private timer: ITimer | undefined
 
   /**
    * @param clock the source of time
-   * @param span within which progress is expected, in milliseconds
-   * @param minBytes the least progress
-   * @param onStall called for each request ended because its body stood still
+   * @param intervalMs the interval in which progress is expected
+   * @param minBytes the minimum progress in one interval
+   * @param onStall called for each request aborted because its body stalled
    */
   constructor (
     private readonly clock: IClock,
-    private readonly span: number,
+    private readonly intervalMs: number,
     private readonly minBytes: number,
     private readonly onStall: () => void
   ) {}
 
   /**
-   * Watches a request until its body has come whole or its connection has closed.
-   * @param request just received
+   * Monitors a request until its body is complete or its connection is closed.
+   * @param request a request just received
    */
   watch (request: IncomingMessage): void {
     if (!hasBody(request)) return
-    const entry = { request, bytesThen: request.socket.bytesRead, checkAt: createDeadline(this.clock.now(), this.span) }
-    this.open.add(entry)
-    const remove = (): void => { this.open.delete(entry) }
+    const entry = { request, bytesAtLastCheck: request.socket.bytesRead, nextCheckAt: createDeadline(this.clock.now(), this.intervalMs) }
+    this.watched.add(entry)
+    const remove = (): void => { this.watched.delete(entry) }
     request.once('end', remove)
     request.once('close', remove)
-    this.scheduleLook()
+    this.scheduleCheck()
   }
 
   close (): void {
     this.timer?.close()
     this.timer = undefined
-    this.open.clear()
+    this.watched.clear()
   }
 
-  private scheduleLook (): void {
-    if (this.timer !== undefined || this.open.size === 0) return
-    this.timer = this.clock.schedule(createDeadline(this.clock.now(), this.span / LOOKS_PER_SPAN), () => {
+  private scheduleCheck (): void {
+    if (this.timer !== undefined || this.watched.size === 0) return
+    this.timer = this.clock.schedule(createDeadline(this.clock.now(), this.intervalMs / CHECKS_PER_INTERVAL), () => {
       this.timer = undefined
       this.checkAll()
-      this.scheduleLook()
+      this.scheduleCheck()
     })
   }
 
   private checkAll (): void {
     const now = this.clock.now()
-    for (const entry of this.open) {
-      if (hasPassed(entry.checkAt, now)) this.check(entry, now)
+    for (const entry of this.watched) {
+      if (hasPassed(entry.nextCheckAt, now)) this.check(entry, now)
     }
   }
 
-  private check (entry: OpenBody, now: number): void {
+  private check (entry: WatchedBody, now: number): void {
     const { request } = entry
     const received = request.socket.bytesRead
-    // A full buffer means that the upstream, not the sender, is slow: the parser
-    // has paused the socket, and no sender could make progress then.
-    const isHeldBack = request.readableLength >= request.readableHighWaterMark
-    if (!isHeldBack && received - entry.bytesThen < this.minBytes) {
+    // A full buffer means that the upstream is slow, not the client: the parser has
+    // paused the socket, so the client can't make progress.
+    const isPaused = request.readableLength >= request.readableHighWaterMark
+    if (!isPaused && received - entry.bytesAtLastCheck < this.minBytes) {
       this.onStall()
-      this.open.delete(entry)
-      request.destroy(new Error('the body made no progress'))
+      this.watched.delete(entry)
+      request.destroy(new Error('the request body stalled'))
       return
     }
-    entry.bytesThen = received
-    entry.checkAt = createDeadline(now, this.span)
+    entry.bytesAtLastCheck = received
+    entry.nextCheckAt = createDeadline(now, this.intervalMs)
   }
 }
 
--- a/packages/daemon/src/node/listener/connectionLimits.ts
+++ b/packages/daemon/src/node/listener/connectionLimits.ts
@@ -1,15 +1,15 @@
-/** Bounds the open connections of one listener, in total and per client address. */
+/** Limits the open connections of one listener per client address. */
 import type { Socket } from 'node:net'
-import { toPlainAddress } from '../callers/forwardedFor.js'
+import { toNormalizedAddress } from '../callers/forwardedFor.js'
 
-/** Counts connections and refuses those above the limit. */
+/** Counts connections by client address and closes those above the limit. */
 export class ConnectionLimits {
   private readonly openByAddress = new Map<string, number>()
 
   /**
-   * @param maxPerAddress connections of one client address
-   * @param isExempt whether an address carries many clients and is not limited
-   * @param onRefuse called for each connection refused
+   * @param maxPerAddress maximum number of open connections from one client address
+   * @param isExempt whether an address is that of a proxy for many clients and isn't limited
+   * @param onRefuse called for each refused connection
    */
   constructor (
     private readonly maxPerAddress: number,
@@ -18,13 +18,13 @@
   ) {}
 
   /**
-   * Takes a new connection in, or destroys it: one client that opens connections
-   * without end would otherwise leave none for the others.
-   * @param socket just accepted
-   * @returns whether it may stay
+   * Accepts a new connection, or destroys it if the client has too many: otherwise
+   * one client could use up all connections of the listener.
+   * @param socket the socket just opened
+   * @returns whether the connection was accepted
    */
   accept (socket: Socket): boolean {
-    const address = toPlainAddress(socket.remoteAddress ?? '')
+    const address = toNormalizedAddress(socket.remoteAddress ?? '')
     if (this.isExempt(address)) return true
     const open = this.openByAddress.get(address) ?? 0
     if (open >= this.maxPerAddress) {
--- a/packages/daemon/src/node/main.ts
+++ b/packages/daemon/src/node/main.ts
@@ -1,4 +1,4 @@
-/** The `umberspard` program: reads its settings, runs one daemon, stops it on a signal. */
+/** The `umberspard` program: loads its settings, runs one daemon and stops it on a signal. */
 import { runDetached } from '@umberspar/base/common/detached'
 import { ErrorCode } from '@umberspar/base/common/errors'
 import { LogLevel, logError } from '@umberspar/base/common/logger'
@@ -8,26 +8,26 @@
 import { hideBin } from 'yargs/helpers'
 import { createDaemon } from './daemon.js'
 
-/** How the program ends. */
+/** Exit codes of the program. */
 export enum DaemonExitCode {
-  /** Stopped on request, nothing cut off. */
+  /** Stopped on request, no requests aborted. */
   Stopped = 0,
-  /** A listener could not be opened. */
+  /** A listener couldn't be opened. */
   CouldNotStart = 1,
-  /** Arguments, settings or the certificates they name are wrong. */
+  /** Arguments, settings or certificates are invalid. */
   BadSettings = 2,
-  /** Stopped by a second signal, or by the longest wait, with requests still open. */
+  /** Stopped with requests still open, because of a second signal or a time limit. */
   CutOff = 3
 }
 
 /**
- * Runs the daemon until it is told to stop.
- * @param argv the process's arguments
+ * Runs the daemon until it is stopped by a signal.
+ * @param argv the process's command-line arguments
  */
 export async function main (argv: string[]): Promise<void> {
   const args = await yargs(hideBin(argv))
     .scriptName('umberspard')
-    .usage('$0 --settings FILE\n\nRuns one entry VM of umberspar. SIGTERM stops it without cutting off requests; a second one stops it at once.')
+    .usage('$0 --settings FILE\n\nRuns one entry VM of umberspar. SIGTERM stops it gracefully; a second one stops it at once and aborts open requests.')
     .option('settings', { type: 'string', demandOption: true, describe: 'JSON file with this daemon\'s settings' })
     .example('$0 --settings config/teratai/entry-1.json', 'run the first entry VM of the example deployment')
     .strict()
--- a/packages/daemon/src/node/operators/drainStatus.ts
+++ b/packages/daemon/src/node/operators/drainStatus.ts
@@ -1,41 +1,41 @@
-/** How far each drain of the configuration has come, as this node sees it. */
+/** Progress of the configured drains, as seen by this node. */
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import { findRegion } from '@umberspar/steering/common/configuration/findRegion'
 import type { PlaceDirectory } from '../places/placeDirectory.js'
 import type { PlanKeeper } from '../places/planKeeper.js'
 
-/** What a drain takes out of use. */
+/** What is drained. */
 export enum DrainKind {
   FailureDomain = 'failure-domain',
   Region = 'region',
   Place = 'place'
 }
 
-/** One drain's progress at one node. */
+/** Progress of one drain on one node. */
 export interface DrainStatus {
   readonly kind: DrainKind
   /** The failure domain, the region, or `service/failure-domain`. */
   readonly target: string
-  /** Mean part of client regions' traffic still planned there, 0 to 1. */
+  /** Mean share of the client regions' traffic still planned there, 0 to 1. For a drain of several places, the highest of their shares. */
   readonly weight: number
-  /** This node's requests there that have not ended. */
+  /** Number of this node's requests there that have not ended. */
   readonly inFlight: number
-  /** Nothing of this node goes there any more. */
+  /** This node sends nothing there any more. */
   readonly isSafeToStop: boolean
 }
 
-/** Whether a place belongs to a drain. */
-type PlaceTest = (service: string, failureDomain: string) => boolean
+/** Whether a service's place in a failure domain is part of a drain. */
+type PlacePredicate = (service: string, failureDomain: string) => boolean
 
 /**
  * @param configuration the configuration in force
  * @param places this node's places
  * @param plans this node's weights
- * @returns the progress of every drain asked for
+ * @returns the progress of every configured drain
  */
 export function listDrains (configuration: SteeringConfiguration, places: PlaceDirectory, plans: PlanKeeper): DrainStatus[] {
   const { failureDomains, regions, places: single } = configuration.drains
-  const create = (kind: DrainKind, target: string, isPart: PlaceTest): DrainStatus => buildStatus(kind, target, isPart, places, plans)
+  const create = (kind: DrainKind, target: string, isPart: PlacePredicate): DrainStatus => buildStatus(kind, target, isPart, places, plans)
   return [
     ...failureDomains.map((name) => create(DrainKind.FailureDomain, name, (_, domain) => domain === name)),
     ...regions.map((name) => create(DrainKind.Region, name, (_, domain) => findRegion(configuration, domain) === name)),
@@ -44,7 +44,7 @@
   ]
 }
 
-function buildStatus (kind: DrainKind, target: string, isPart: PlaceTest, places: PlaceDirectory, plans: PlanKeeper): DrainStatus {
+function buildStatus (kind: DrainKind, target: string, isPart: PlacePredicate, places: PlaceDirectory, plans: PlanKeeper): DrainStatus {
   const parts = places.list().filter((pool) => isPart(pool.key.service, pool.key.failureDomain))
   const weights = parts.map((pool) => plans.computeWeight(pool.key.service, pool.key.failureDomain))
   const weight = Math.max(0, ...weights)
--- a/packages/daemon/src/node/operators/operatorServer.ts
+++ b/packages/daemon/src/node/operators/operatorServer.ts
@@ -1,4 +1,4 @@
-/** The operators' listener: health, status, configuration, drains and burn counts, all JSON. */
+/** Routes of the operators' listener: health, status, configuration, drains and error budget burn, all as JSON. */
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import polka, { type Polka } from 'polka'
@@ -7,7 +7,7 @@
 import type { PatchFailure, PatchService } from '../configuration/patchService.js'
 import { REFUSAL_STATUS } from '../configuration/patchService.js'
 
-/** A patch is at most as large as a configuration; more is refused unread. */
+/** A patch is at most as large as a configuration. Larger bodies are refused without being parsed. */
 const MAX_BODY_BYTES = 32 * 1024 * 1024
 
 const patchSchema = z.strictObject({
@@ -18,7 +18,7 @@
 })
 const validateSchema = z.strictObject({ baseVersion: z.number().int().min(0), patch: z.unknown() })
 
-/** What the listener shows; each call answers with what is so now. */
+/** The data that the listener exposes. Each call returns the current state. */
 export interface OperatorViews {
   isReady(): { isReady: boolean, reason: string }
   getStatus(): object
@@ -42,21 +42,21 @@
 
 /**
  * Builds the operators' routes.
- * @param views what to show
- * @param patches who applies patches
- * @returns an application to put on a listener
+ * @param views the data to expose
+ * @param patches validates and applies patches
+ * @returns an application for an HTTP listener
  */
 export function buildOperatorApp (views: OperatorViews, patches: PatchService): Polka {
-  const app = polka({ onError: (error, _request, response) => answerError(response as ServerResponse, toInternal(error)) })
-  app.get('/healthz', (_request, response) => answerJson(response, 200, { status: 'ok' }))
+  const app = polka({ onError: (error, _request, response) => sendError(response as ServerResponse, toInternalError(error)) })
+  app.get('/healthz', (_request, response) => sendJson(response, 200, { status: 'ok' }))
   app.get('/readyz', (_request, response) => {
     const ready = views.isReady()
-    answerJson(response, ready.isReady ? 200 : 503, ready)
+    sendJson(response, ready.isReady ? 200 : 503, ready)
   })
-  app.get('/v1/status', (_request, response) => answerJson(response, 200, views.getStatus()))
-  app.get('/v1/fleet', (_request, response) => answerJson(response, 200, views.getFleet()))
-  app.get('/v1/drains', (_request, response) => answerJson(response, 200, views.listDrains()))
-  app.get('/v1/burn', (_request, response) => answerJson(response, 200, views.getBurn()))
+  app.get('/v1/status', (_request, response) => sendJson(response, 200, views.getStatus()))
+  app.get('/v1/fleet', (_request, response) => sendJson(response, 200, views.getFleet()))
+  app.get('/v1/drains', (_request, response) => sendJson(response, 200, views.listDrains()))
+  app.get('/v1/burn', (_request, response) => sendJson(response, 200, views.getBurn()))
   addConfigurationRoutes(app, views, patches)
   return app
 }
@@ -64,70 +64,70 @@
 function addConfigurationRoutes (app: Polka, views: OperatorViews, patches: PatchService): void {
   app.get('/v1/config', (_request, response) => {
     const current = views.getConfiguration()
-    if (current !== undefined) answerJson(response, 200, current)
-    else answerError(response, createError(ErrorCode.Unavailable, 'no configuration is in force yet'))
+    if (current !== undefined) sendJson(response, 200, current)
+    else sendError(response, createError(ErrorCode.Unavailable, 'no configuration has been loaded yet'))
   })
-  app.get('/v1/config/history', async (_request, response) => answerResult(response, await views.listHistory()))
+  app.get('/v1/config/history', async (_request, response) => sendResult(response, await views.listHistory()))
   app.get('/v1/config/versions/:version', async (request, response) => {
     const version = Number(request.params.version)
-    if (!Number.isInteger(version)) answerError(response, createError(ErrorCode.Invalid, 'expected a whole number as version'))
-    else answerResult(response, await views.readVersion(version))
+    if (!Number.isInteger(version)) sendError(response, createError(ErrorCode.Invalid, 'expected an integer as the version'))
+    else sendResult(response, await views.readVersion(version))
   })
   app.post('/v1/config/validate', buildBodyHandler(validateSchema, async (input, response) => {
     const checked = await patches.validate(input)
-    if (checked.ok) answerJson(response, 200, { valid: true, problems: [] })
-    else answerFailure(response, checked.val, input.baseVersion)
+    if (checked.ok) sendJson(response, 200, { valid: true, problems: [] })
+    else sendPatchFailure(response, checked.val, input.baseVersion)
   }))
   app.post('/v1/drains/predict', buildBodyHandler(validateSchema, async (input, response) => {
-    // A patch refused only because its drains do not fit is predicted all the same: the prediction says why.
+    // A patch that would be refused only for lack of capacity is predicted nevertheless, because the prediction shows why.
     const checked = await patches.validate(input, false)
-    if (checked.ok) answerJson(response, 200, views.predictDrain(checked.val))
-    else answerFailure(response, checked.val, input.baseVersion)
+    if (checked.ok) sendJson(response, 200, views.predictDrain(checked.val))
+    else sendPatchFailure(response, checked.val, input.baseVersion)
   }))
   app.post('/v1/config/patches', buildBodyHandler(patchSchema, async (input, response) => {
     const patched = await patches.patch(input)
-    if (patched.ok) answerJson(response, 200, { head: patched.val })
-    else answerFailure(response, patched.val, input.baseVersion)
+    if (patched.ok) sendJson(response, 200, { head: patched.val })
+    else sendPatchFailure(response, patched.val, input.baseVersion)
   }))
 }
 
 type BodyHandler = (request: IncomingMessage, response: ServerResponse) => Promise<void>
 
-/** Reads a body of a schema and hands it on; a wrong one is answered with what is wrong. */
+/** Parses and validates a JSON body and passes it to the handler; an invalid body is refused with a list of its problems. */
 function buildBodyHandler<T> (schema: z.ZodType<T>, handle: (input: T, response: ServerResponse) => Promise<void>): BodyHandler {
   return async (request, response) => {
     const input = await readJson(request, schema)
-    if (input instanceof StepError) answerError(response, input)
+    if (input instanceof StepError) sendError(response, input)
     else await handle(input, response)
   }
 }
 
-function answerFailure (response: ServerResponse, failure: PatchFailure, baseVersion: number): void {
+function sendPatchFailure (response: ServerResponse, failure: PatchFailure, baseVersion: number): void {
   if (failure.kind === 'failed') {
-    answerError(response, failure.error)
+    sendError(response, failure.error)
     return
   }
   const { refusal, currentVersion } = failure
   const status = REFUSAL_STATUS[refusal.kind]
-  answerProblemJson(response, status, { title: refusal.kind, detail: refusal.message, step: 'patch-configuration', peer: 'local', outcome: 'not-run', baseVersion, currentVersion, conflictingPaths: refusal.conflictingPaths, problems: refusal.problems })
+  sendProblemJson(response, status, { title: refusal.kind, detail: refusal.message, step: 'patch-configuration', peer: 'local', outcome: 'not-run', baseVersion, currentVersion, conflictingPaths: refusal.conflictingPaths, problems: refusal.problems })
 }
 
-function answerResult (response: ServerResponse, result: object | StepError): void {
-  if (result instanceof StepError) answerError(response, result)
-  else answerJson(response, 200, result)
+function sendResult (response: ServerResponse, result: object | StepError): void {
+  if (result instanceof StepError) sendError(response, result)
+  else sendJson(response, 200, result)
 }
 
-function answerError (response: ServerResponse, error: StepError): void {
+function sendError (response: ServerResponse, error: StepError): void {
   const status = STATUS_BY_CODE[error.code] ?? DEFAULT_ERROR_STATUS
   const outcome = error.code === ErrorCode.EffectUnknown ? 'unknown' : 'not-run'
-  answerProblemJson(response, status, { title: error.code, detail: error.message, step: error.step, peer: error.peer, outcome })
+  sendProblemJson(response, status, { title: error.code, detail: error.message, step: error.step, peer: error.peer, outcome })
 }
 
-function answerProblemJson (response: ServerResponse, status: number, fields: object): void {
+function sendProblemJson (response: ServerResponse, status: number, fields: object): void {
   writeBody(response, status, 'application/problem+json', { type: 'about:blank', status, ...fields })
 }
 
-function answerJson (response: ServerResponse, status: number, body: object): void {
+function sendJson (response: ServerResponse, status: number, body: object): void {
   writeBody(response, status, 'application/json', body)
 }
 
@@ -144,7 +144,7 @@
   let length = 0
   for await (const part of request) {
     length += (part as Buffer).length
-    if (length > MAX_BODY_BYTES) return createError(ErrorCode.Invalid, 'the body is too large')
+    if (length > MAX_BODY_BYTES) return createError(ErrorCode.Invalid, 'the request body is too large')
     parts.push(part as Buffer)
   }
   try {
@@ -161,7 +161,7 @@
   return new StepError({ code, step: 'answer-operator', peer: 'local', message })
 }
 
-function toInternal (thrown: unknown): StepError {
+function toInternalError (thrown: unknown): StepError {
   const message = thrown instanceof Error ? thrown.message : String(thrown)
   return createError(ErrorCode.Internal, message)
 }
--- a/packages/daemon/src/node/operators/operatorViews.ts
+++ b/packages/daemon/src/node/operators/operatorViews.ts
@@ -1,4 +1,4 @@
-/** What the operators' listener shows, read from the daemon's parts. */
+/** The data that the operators' listener exposes, read from the daemon's parts. */
 import type { IClock } from '@umberspar/base/common/clock'
 import { createDeadline } from '@umberspar/base/common/deadline'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
@@ -9,16 +9,16 @@
 import { listDrains } from './drainStatus.js'
 import type { OperatorViews } from './operatorServer.js'
 
-const READ_SPAN_MS = 3000
+const READ_TIMEOUT_MS = 3000
 
 /**
  * @param settings this daemon's settings
- * @param parts its parts
- * @param clock the time
+ * @param parts the daemon's parts
+ * @param clock the time source
  * @returns the views of the operators' listener
  */
 export function buildViews (settings: DaemonSettings, parts: DaemonParts, clock: IClock): OperatorViews {
-  const createReadDeadline = (): number => createDeadline(clock.now(), READ_SPAN_MS)
+  const createReadDeadline = (): number => createDeadline(clock.now(), READ_TIMEOUT_MS)
   return {
     isReady: () => getReadiness(parts),
     getStatus: () => getStatus(settings, parts),
@@ -39,8 +39,8 @@
 }
 
 function getReadiness (parts: DaemonParts): { isReady: boolean, reason: string } {
-  if (parts.keeper.current === undefined) return { isReady: false, reason: `no configuration yet: ${parts.watcher.getFailureReason()}` }
-  if (!parts.members.isListed) return { isReady: false, reason: 'the VM list has not answered yet' }
+  if (parts.keeper.current === undefined) return { isReady: false, reason: `no configuration loaded: ${parts.watcher.getFailureReason()}` }
+  if (!parts.members.isListed) return { isReady: false, reason: 'the VM list has not been read yet' }
   if (parts.peerService.state !== NodeState.Live) return { isReady: false, reason: `this node is ${parts.peerService.state}` }
   return { isReady: true, reason: 'serving' }
 }
@@ -92,7 +92,7 @@
   const history = await parts.configurations.listHistory(deadline)
   if (!history.ok) return history.val
   const entry = history.val.find((one) => one.version === version)
-  if (entry === undefined) return new StepError({ code: ErrorCode.NotFound, step: 'read-version', peer: 'store', message: `version ${version} is not kept` })
+  if (entry === undefined) return new StepError({ code: ErrorCode.NotFound, step: 'read-version', peer: 'store', message: `version ${version} is not in the history` })
   const read = await parts.patches.readVersion(entry, deadline)
   return read.val
 }
--- a/packages/daemon/src/node/partInputs.ts
+++ b/packages/daemon/src/node/partInputs.ts
@@ -1,4 +1,4 @@
-/** What the parts of a daemon are made from. */
+/** Settings and services from which a daemon's parts are created. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { ILogger } from '@umberspar/base/common/logger'
 import type { IMetrics } from '@umberspar/base/common/metrics'
@@ -8,7 +8,7 @@
 import type { AdmissionPolicy } from './places/admissionQueue.js'
 import type { DaemonTls } from './tls/daemonTls.js'
 
-/** What the parts are made from. */
+/** Settings and services shared by a daemon's parts. */
 export interface PartInputs {
   readonly settings: DaemonSettings
   readonly digester: Digester
@@ -17,6 +17,6 @@
   readonly clock: IClock
   readonly random: IRandomSource
   readonly admission?: AdmissionPolicy | undefined
-  /** Certificates of the sides that speak TLS. */
+  /** Certificates of the sides that use TLS. */
   readonly tls: DaemonTls
 }
--- a/packages/daemon/src/node/request/requestContext.ts
+++ b/packages/daemon/src/node/request/requestContext.ts
@@ -1,4 +1,4 @@
-/** What is known of one caller's request before it is sent anywhere. */
+/** What is known about one caller's request before it is sent to an upstream. */
 import type { Deadline } from '@umberspar/base/common/deadline'
 import type { RouteConfiguration, ServiceConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 
@@ -9,13 +9,13 @@
   readonly settings: ServiceConfiguration
   readonly route: RouteConfiguration
   readonly isIdempotent: boolean
-  /** Attempts that may be sent, the first included. */
+  /** Maximum number of attempts, including the first. */
   readonly maxAttempts: number
   readonly method: string
-  /** Path and query below the service, beginning with `/`. */
+  /** Path and query after the service's prefix, beginning with `/`. */
   readonly path: string
   readonly clientRegion: string
   readonly deadline: Deadline
-  /** Aborted when the caller has gone. */
+  /** Aborted when the caller disconnects. */
   readonly signal: AbortSignal
 }
--- a/packages/daemon/src/node/request/requestRun.ts
+++ b/packages/daemon/src/node/request/requestRun.ts
@@ -1,6 +1,7 @@
 /**
- * Executes the effects of one request's flow with places and transport, and
- * feeds what happens back into it. All decisions are in `requestFlow`.
+ * Executes the effects of one request's state machine (acquiring slots, sending
+ * attempts, timers) and feeds the results back into it as events. All decisions
+ * are made in `requestFlow`.
  */
 import type { IClock, Instant, ITimer } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
@@ -16,28 +17,28 @@
 import { computeRetryAfter } from '@umberspar/steering/common/request/retryAfter'
 import type { Outcome } from '@umberspar/steering/common/state/outcome'
 import type { SlotGrant } from '../places/placePool.js'
-import { classifyAttemptError, DRAINING_HEADER, isRefusal, isWorkersFault, mayStillRun } from './classifyAnswer.js'
-import { AnswerEnd, type RequestFailure, type RunningAnswer } from './requestEnds.js'
-import { canRepeatBody, type RequestBody } from './requestBody.js'
+import { classifyAttemptError, DRAINING_HEADER, isRefusal, isWorkerFault, mayStillRun } from './classifyAttempt.js'
+import { ResponseEnd, type RequestFailure, type PendingResponse } from './requestResult.js'
+import { canReplayBody, type RequestBody } from './requestBody.js'
 import type { RequestContext } from './requestContext.js'
 import type { ServiceStatistics } from './serviceStatistics.js'
-import type { NoSlot, SlotFinder } from './slotFinder.js'
+import type { SlotFailure, SlotFinder } from './slotFinder.js'
 
 /**
- * A cancelled attempt's slot stays taken so long, in milliseconds: its worker
- * hears of the cancellation when the connection's close arrives, after one way
- * through the network and, if that packet is lost, a retransmission after 200 ms.
+ * How long the slot of a cancelled attempt stays occupied. The worker learns of the
+ * cancellation when the connection's close arrives: after the one-way network delay
+ * and, if that packet is lost, a retransmission after 200 ms.
  */
-export const CANCELLATION_SPAN = 250
-/** A hedge that finds no free slot is not worth waiting for, in milliseconds. */
-const HEDGE_WAIT_SPAN = 5
-const SERVER_ERROR = 500
+export const CANCELLATION_HOLD_MS = 250
+/** A hedged attempt that finds no free slot almost at once isn't worth waiting for. */
+const MAX_HEDGE_WAIT_MS = 5
+const MIN_SERVER_ERROR_STATUS = 500
 
-/** A reason of our own spares the stack trace that the platform's default one takes. */
-const CANCELLED = 'cancelled'
+/** Passed to `abort`, which would otherwise create an error with a stack trace. */
+const CANCELLATION_REASON = 'cancelled'
 
-/** What runs work with. */
-export interface RunParts {
+/** The services that a request run uses. */
+export interface RequestRunDependencies {
   readonly selfId: string
   readonly transport: IUpstreamTransport
   readonly slots: SlotFinder
@@ -46,16 +47,16 @@
   readonly metrics: IMetrics
 }
 
-/** What is to be run. */
-export interface RunInput {
+/** The request to run. */
+export interface RequestRunInput {
   readonly context: RequestContext
-  /** Without the hop-by-hop ones. */
+  /** The request's headers without the hop-by-hop ones. */
   readonly headers: Record<string, string | string[]>
   readonly body: RequestBody
   readonly statistics: ServiceStatistics
 }
 
-interface RunAttempt {
+interface Attempt {
   readonly controller: AbortController
   grant: SlotGrant | undefined
   response: AttemptResponse | undefined
@@ -65,17 +66,17 @@
 type EffectOf<Kind extends FlowEffectKind> = Extract<FlowEffect, { kind: Kind }>
 type EffectHandlers = { readonly [Kind in FlowEffectKind]: (effect: EffectOf<Kind>) => void }
 
-/** One request on its way to an answer. */
+/** Runs one request, with its retries and hedged attempts. */
 export class RequestRun {
   private state: FlowState
-  private readonly attempts: RunAttempt[] = []
+  private readonly attempts: Attempt[] = []
   private readonly timers = new Map<FlowTimer, ITimer>()
-  private noSlot: NoSlot | undefined
+  private lastSlotFailure: SlotFailure | undefined
   private lastError: StepError | undefined
-  private resolve: (result: Result<RunningAnswer, RequestFailure>) => void = () => {}
-  private readonly onCallerLeft = (): void => { this.apply({ kind: FlowEventKind.CallerLeft }) }
+  private resolve: (result: Result<PendingResponse, RequestFailure>) => void = () => {}
+  private readonly onCallerDisconnected = (): void => { this.applyEvent({ kind: FlowEventKind.CallerLeft }) }
 
-  private readonly handlers: EffectHandlers = {
+  private readonly effectHandlers: EffectHandlers = {
     [FlowEffectKind.AcquireSlot]: (effect) => { this.acquire(effect) },
     [FlowEffectKind.ReleaseSlot]: ({ attemptId }) => { this.attempts[attemptId]?.grant?.release() },
     [FlowEffectKind.Send]: ({ attemptId }) => { this.send(attemptId) },
@@ -84,31 +85,31 @@
     [FlowEffectKind.StopTimer]: ({ timer }) => { this.timers.get(timer)?.close() },
     [FlowEffectKind.RecordFirst]: () => { this.input.statistics.budget.recordFirst() },
     [FlowEffectKind.SpendToken]: () => { this.input.statistics.budget.take() },
-    [FlowEffectKind.Answer]: ({ attemptId }) => { this.answer(attemptId) },
-    [FlowEffectKind.Refuse]: ({ outcome }) => { this.refuse(outcome) }
+    [FlowEffectKind.Answer]: ({ attemptId }) => { this.deliverResponse(attemptId) },
+    [FlowEffectKind.Refuse]: ({ outcome }) => { this.deliverFailure(outcome) }
   }
 
-  constructor (private readonly parts: RunParts, private readonly input: RunInput) {
+  constructor (private readonly dependencies: RequestRunDependencies, private readonly input: RequestRunInput) {
     const { isIdempotent, maxAttempts, deadline } = input.context
     this.state = createFlow({ isIdempotent, maxAttempts, deadline })
   }
 
-  /** @returns an upstream's answer, or whether the request may have run */
-  run (): Promise<Result<RunningAnswer, RequestFailure>> {
+  /** @returns an upstream's response, or the failure with whether the request may have run */
+  run (): Promise<Result<PendingResponse, RequestFailure>> {
     const { signal } = this.input.context
     return new Promise((resolve) => {
       this.resolve = resolve
-      this.apply({ kind: FlowEventKind.Started })
-      if (signal.aborted) this.onCallerLeft()
-      else signal.addEventListener('abort', this.onCallerLeft, { once: true })
+      this.applyEvent({ kind: FlowEventKind.Started })
+      if (signal.aborted) this.onCallerDisconnected()
+      else signal.addEventListener('abort', this.onCallerDisconnected, { once: true })
     })
   }
 
-  private apply (event: FlowEvent): void {
+  private applyEvent (event: FlowEvent): void {
     const { state, effects } = stepFlow(this.state, event, this.buildView())
     this.state = state
     for (const effect of effects) {
-      const handle = this.handlers[effect.kind] as (effect: FlowEffect) => void
+      const handle = this.effectHandlers[effect.kind] as (effect: FlowEffect) => void
       handle(effect)
     }
   }
@@ -116,36 +117,36 @@
   private buildView (): FlowView {
     const { body, statistics } = this.input
     return {
-      now: this.parts.clock.now(),
-      jitter: this.parts.random.next(),
+      now: this.dependencies.clock.now(),
+      jitter: this.dependencies.random.next(),
       hasToken: statistics.budget.hasToken,
       hedgeSpan: statistics.latency.getHedgeSpan(),
-      isBodyWhole: canRepeatBody(body),
+      isBodyWhole: canReplayBody(body),
       isBodyShared: body.kind === 'buffered'
     }
   }
 
   private async acquire ({ attemptId, purpose, wish }: EffectOf<FlowEffectKind.AcquireSlot>): Promise<void> {
     const { context } = this.input
-    const attempt: RunAttempt = { controller: new AbortController(), grant: undefined, response: undefined, sentAt: 0 }
+    const attempt: Attempt = { controller: new AbortController(), grant: undefined, response: undefined, sentAt: 0 }
     this.attempts[attemptId] = attempt
-    this.parts.metrics.count('request.attempts', 1, { service: context.service, purpose })
-    const found = await this.parts.slots.acquire({ context, wish, deadline: this.getWaitDeadline(purpose), signal: attempt.controller.signal })
-    if (!found.ok) {
-      this.noSlot = found.val
-      if (purpose !== AttemptPurpose.Hedge) this.lastError ??= found.val.error
-      this.apply({ kind: FlowEventKind.SlotRefused, attemptId })
+    this.dependencies.metrics.count('request.attempts', 1, { service: context.service, purpose })
+    const acquired = await this.dependencies.slots.acquire({ context, wish, deadline: this.getWaitDeadline(purpose), signal: attempt.controller.signal })
+    if (!acquired.ok) {
+      this.lastSlotFailure = acquired.val
+      if (purpose !== AttemptPurpose.Hedge) this.lastError ??= acquired.val.error
+      this.applyEvent({ kind: FlowEventKind.SlotRefused, attemptId })
       return
     }
-    const { grant, failureDomain } = found.val
+    const { grant, failureDomain } = acquired.val
     attempt.grant = grant
-    this.apply({ kind: FlowEventKind.SlotGranted, attemptId, workerId: grant.workerId, failureDomain })
+    this.applyEvent({ kind: FlowEventKind.SlotGranted, attemptId, workerId: grant.workerId, failureDomain })
   }
 
   private getWaitDeadline (purpose: AttemptPurpose): Deadline {
     const { deadline } = this.input.context
     if (purpose !== AttemptPurpose.Hedge) return deadline
-    return Math.min(deadline, createDeadline(this.parts.clock.now(), HEDGE_WAIT_SPAN))
+    return Math.min(deadline, createDeadline(this.dependencies.clock.now(), MAX_HEDGE_WAIT_MS))
   }
 
   private async send (attemptId: number): Promise<void> {
@@ -153,8 +154,8 @@
     const grant = attempt?.grant
     if (attempt === undefined || grant === undefined) return
     const { context, body } = this.input
-    attempt.sentAt = this.parts.clock.now()
-    const sent = await this.parts.transport.send({
+    attempt.sentAt = this.dependencies.clock.now()
+    const sendResult = await this.dependencies.transport.send({
       workerId: grant.workerId,
       address: grant.worker.address,
       method: context.method,
@@ -164,29 +165,29 @@
       deadline: context.deadline,
       signal: attempt.controller.signal
     })
-    if (sent.ok) this.handleHead(attemptId, attempt, grant, sent.val)
-    else this.handleFailure(attemptId, attempt, grant, sent.val)
+    if (sendResult.ok) this.handleResponseHead(attemptId, attempt, grant, sendResult.val)
+    else this.handleFailure(attemptId, attempt, grant, sendResult.val)
   }
 
-  private handleFailure (attemptId: number, attempt: RunAttempt, grant: SlotGrant, error: AttemptError): void {
+  private handleFailure (attemptId: number, attempt: Attempt, grant: SlotGrant, error: AttemptError): void {
     const { context } = this.input
-    const now = this.parts.clock.now()
-    if (isWorkersFault(error, { sentAt: attempt.sentAt, now, expectedSpan: context.settings.objective.latencyMs })) {
+    const now = this.dependencies.clock.now()
+    if (isWorkerFault(error, { sentAt: attempt.sentAt, now, expectedLatency: context.settings.objective.latencyMs })) {
       grant.table.observeFailure(grant.workerId, now)
     }
-    grant.release(mayStillRun(error) ? this.getHoldEnd() : undefined)
+    grant.release(mayStillRun(error) ? this.getDelayedReleaseTime() : undefined)
     const outcome = classifyAttemptError(error)
-    if (error.code !== ErrorCode.Cancelled) this.lastError = error.isLate ? createLateError(error) : error
-    this.apply({ kind: FlowEventKind.AttemptFailed, attemptId, outcome })
+    if (error.code !== ErrorCode.Cancelled) this.lastError = error.isLate ? createDeadlineError(error) : error
+    this.applyEvent({ kind: FlowEventKind.AttemptFailed, attemptId, outcome })
   }
 
-  private handleHead (attemptId: number, attempt: RunAttempt, grant: SlotGrant, response: AttemptResponse): void {
-    const now = this.parts.clock.now()
+  private handleResponseHead (attemptId: number, attempt: Attempt, grant: SlotGrant, response: AttemptResponse): void {
+    const now = this.dependencies.clock.now()
     const load = parseOrcaLoad(response.headers)
     if (load !== undefined) grant.table.observeLoad(grant.workerId, { utilization: load.utilization, takenAt: now })
     if (response.headers[DRAINING_HEADER] !== undefined) grant.table.markDraining(grant.workerId, true, now)
     if (isRefusal(response.status, response.headers, this.input.context.settings.refusal)) {
-      // Refusing is quick, so in-flight counts alone would prefer the worker that sheds.
+      // Refusals are fast, so by in-flight counts alone an overloaded worker would be preferred.
       grant.table.observeLoad(grant.workerId, { utilization: 1, takenAt: now })
       this.handleRefusal(attemptId, grant, response)
       return
@@ -194,7 +195,7 @@
     if (this.input.body.kind === 'buffered') grant.table.observeAnswerTime(grant.workerId, now - attempt.sentAt, now)
     attempt.response = response
     this.input.statistics.latency.observe(now - attempt.sentAt)
-    this.apply({ kind: FlowEventKind.AnswerBegan, attemptId })
+    this.applyEvent({ kind: FlowEventKind.AnswerBegan, attemptId })
   }
 
   private handleRefusal (attemptId: number, grant: SlotGrant, response: AttemptResponse): void {
@@ -203,66 +204,66 @@
     grant.release()
     this.lastError = new StepError({ code: ErrorCode.Refused, step: 'send-request', peer: grant.worker.address, message: 'the upstream refused the request without running it' })
     const outcome = classifyExchange(SentState.MayHaveLeft, AnswerState.Refusal)
-    this.apply({ kind: FlowEventKind.AttemptFailed, attemptId, outcome })
+    this.applyEvent({ kind: FlowEventKind.AttemptFailed, attemptId, outcome })
   }
 
   private cancel (attemptId: number): void {
     const attempt = this.attempts[attemptId]
     if (attempt === undefined) return
-    // A loser's time is a lower bound of its latency; without it the estimate
-    // would only see the fast ones and hedges would go out earlier and earlier.
-    // A caller that leaves says nothing of the latency.
-    const isLoser = this.state.phase === FlowPhase.Answered && attempt.grant !== undefined && attempt.response === undefined
-    if (isLoser) this.input.statistics.latency.observe(this.parts.clock.now() - attempt.sentAt)
-    attempt.controller.abort(CANCELLED)
-    // Without a response, the end of `acquire` or `send` releases the slot.
-    if (attempt.response !== undefined) attempt.grant?.release(this.getHoldEnd())
+    // The elapsed time of the slower of two hedged attempts is a lower bound of its
+    // latency. Without it the estimate would see only the fast attempts, and hedges
+    // would be sent earlier and earlier. A disconnected caller says nothing about latency.
+    const isSuperseded = this.state.phase === FlowPhase.Answered && attempt.grant !== undefined && attempt.response === undefined
+    if (isSuperseded) this.input.statistics.latency.observe(this.dependencies.clock.now() - attempt.sentAt)
+    attempt.controller.abort(CANCELLATION_REASON)
+    // Without a response, `acquire` or `send` releases the slot when it ends.
+    if (attempt.response !== undefined) attempt.grant?.release(this.getDelayedReleaseTime())
   }
 
   private startTimer (timer: FlowTimer, at: Instant): void {
     this.timers.get(timer)?.close()
-    this.timers.set(timer, this.parts.clock.schedule(at, () => { this.apply({ kind: FlowEventKind.TimerDue, timer }) }))
+    this.timers.set(timer, this.dependencies.clock.schedule(at, () => { this.applyEvent({ kind: FlowEventKind.TimerDue, timer }) }))
   }
 
-  private answer (attemptId: number): void {
+  private deliverResponse (attemptId: number): void {
     const attempt = this.attempts[attemptId]
     if (attempt?.grant === undefined || attempt.response === undefined) return
-    this.stopListening()
+    this.removeAbortListener()
     const { grant, response } = attempt
     this.resolve(new Ok({ response, workerId: grant.workerId, finish: (end) => { this.finish(grant, end, response.status) } }))
   }
 
-  private finish (grant: SlotGrant, end: AnswerEnd, status: number): void {
-    const now = this.parts.clock.now()
-    // A worker that answers errors at once would look idle and draw all requests.
-    const isError = end === AnswerEnd.Broken || (end === AnswerEnd.Whole && status >= SERVER_ERROR)
+  private finish (grant: SlotGrant, end: ResponseEnd, status: number): void {
+    const now = this.dependencies.clock.now()
+    // A worker that fails requests quickly would look idle and attract all of them.
+    const isError = end === ResponseEnd.Broken || (end === ResponseEnd.Complete && status >= MIN_SERVER_ERROR_STATUS)
     if (isError) grant.table.observeFailure(grant.workerId, now)
-    else if (end === AnswerEnd.Whole) grant.table.observeAnswer(grant.workerId, now)
-    grant.release(end === AnswerEnd.Whole ? undefined : this.getHoldEnd())
+    else if (end === ResponseEnd.Complete) grant.table.observeAnswer(grant.workerId, now)
+    grant.release(end === ResponseEnd.Complete ? undefined : this.getDelayedReleaseTime())
   }
 
-  private refuse (outcome: Outcome.NotRun | Outcome.Unknown): void {
-    this.stopListening()
-    const error = this.lastError ?? this.createEndError()
+  private deliverFailure (outcome: Outcome.NotRun | Outcome.Unknown): void {
+    this.removeAbortListener()
+    const error = this.lastError ?? this.createDefaultError()
     const medianSpan = this.input.statistics.latency.getMedianSpan()
-    const room = this.noSlot?.room === undefined ? undefined : { ...this.noSlot.room, medianSpan }
-    const retryAfterSeconds = computeRetryAfter(room, this.parts.random.next())
+    const occupancy = this.lastSlotFailure?.occupancy === undefined ? undefined : { ...this.lastSlotFailure.occupancy, medianSpan }
+    const retryAfterSeconds = computeRetryAfter(occupancy, this.dependencies.random.next())
     this.resolve(new Err({ outcome, error, retryAfterSeconds }))
   }
 
-  private createEndError (): StepError {
-    const hasLeft = this.input.context.signal.aborted
-    const code = hasLeft ? ErrorCode.Cancelled : ErrorCode.DeadlinePassed
-    const message = hasLeft ? 'the caller has gone' : 'the time ran out before an attempt could be made'
+  private createDefaultError (): StepError {
+    const hasCallerDisconnected = this.input.context.signal.aborted
+    const code = hasCallerDisconnected ? ErrorCode.Cancelled : ErrorCode.DeadlinePassed
+    const message = hasCallerDisconnected ? 'the caller disconnected' : 'the deadline passed before an attempt could be sent'
     return new StepError({ code, step: 'run-request', peer: this.input.context.service, message })
   }
 
-  private stopListening (): void {
-    this.input.context.signal.removeEventListener('abort', this.onCallerLeft)
+  private removeAbortListener (): void {
+    this.input.context.signal.removeEventListener('abort', this.onCallerDisconnected)
   }
 
-  private getHoldEnd (): Instant {
-    return createDeadline(this.parts.clock.now(), CANCELLATION_SPAN)
+  private getDelayedReleaseTime (): Instant {
+    return createDeadline(this.dependencies.clock.now(), CANCELLATION_HOLD_MS)
   }
 
   private buildHeaders (): Record<string, string | string[]> {
@@ -270,13 +271,13 @@
     return {
       ...headers,
       'umberspar-request-id': context.requestId,
-      'umberspar-entry': this.parts.selfId,
-      'umberspar-timeout-ms': String(Math.max(1, Math.floor(context.deadline - this.parts.clock.now())))
+      'umberspar-entry': this.dependencies.selfId,
+      'umberspar-timeout-ms': String(Math.max(1, Math.floor(context.deadline - this.dependencies.clock.now())))
     }
   }
 }
 
-/** The transport says of a late answer that its effect is unknown; callers are told that the time ran out. */
-function createLateError (error: StepError): StepError {
+/** Reports a late response, which the transport classifies as having an unknown effect, as a passed deadline. */
+function createDeadlineError (error: StepError): StepError {
   return new StepError({ code: ErrorCode.DeadlinePassed, step: error.step, peer: error.peer, message: error.message, cause: error })
 }
--- a/packages/daemon/src/node/request/slotFinder.ts
+++ b/packages/daemon/src/node/request/slotFinder.ts
@@ -1,4 +1,4 @@
-/** Finds a slot for an attempt: the wished failure domain first, then the plan's others. */
+/** Acquires a slot for an attempt: in the preferred failure domain first, then in the plan's others. */
 import type { Deadline } from '@umberspar/base/common/deadline'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import type { IRandomSource } from '@umberspar/base/common/random'
@@ -8,31 +8,32 @@
 import type { PlaceDirectory } from '../places/placeDirectory.js'
 import type { PlanKeeper } from '../places/planKeeper.js'
 import type { PlacePool, SlotGrant } from '../places/placePool.js'
-import { chooseDomain } from './chooseDomain.js'
+import { chooseFailureDomain } from './chooseFailureDomain.js'
 import type { RequestContext } from './requestContext.js'
 
-/** A slot and where it is. */
-export interface FoundSlot {
+/** A slot and its failure domain. */
+export interface AcquiredSlot {
   readonly grant: SlotGrant
   readonly failureDomain: string
 }
 
-/** Why there is no slot, and how full the last place was. */
-export interface NoSlot {
+/** Why no slot was acquired. */
+export interface SlotFailure {
   readonly error: StepError
-  readonly room: Pick<RoomView, 'waiting' | 'slots'> | undefined
+  /** Queue length and slots of the last place tried, if any. */
+  readonly occupancy: Pick<RoomView, 'waiting' | 'slots'> | undefined
 }
 
-/** What an attempt needs. */
-export interface SlotSearch {
+/** What an attempt requires of a slot. */
+export interface SlotRequest {
   readonly context: RequestContext
   readonly wish: PlaceWish
-  /** How long it may wait for a slot. */
+  /** How long the attempt may wait for a slot. */
   readonly deadline: Deadline
   readonly signal: AbortSignal
 }
 
-/** Looks for slots in the places of the plan. */
+/** Acquires slots in the failure domains of the plan. */
 export class SlotFinder {
   constructor (
     private readonly places: PlaceDirectory,
@@ -41,47 +42,47 @@
   ) {}
 
   /**
-   * @param search what is needed
-   * @returns a slot, held until released; or why there is none, and then no byte has left
+   * @param request what the attempt requires
+   * @returns a slot, held until it is released; or why there is none, in which case nothing was sent
    */
-  async acquire (search: SlotSearch): Promise<Result<FoundSlot, NoSlot>> {
-    const { context, wish } = search
+  async acquire (request: SlotRequest): Promise<Result<AcquiredSlot, SlotFailure>> {
+    const { context, wish } = request
     const weights = this.plans.get(context.service, context.clientRegion)
     const tried = new Set<string>()
-    let last: NoSlot | undefined
+    let lastFailure: SlotFailure | undefined
     for (;;) {
-      const failureDomain = this.chooseNext(weights, wish, tried)
-      if (failureDomain === undefined) return new Err(last ?? { error: createNoPlaceError(context), room: undefined })
+      const failureDomain = this.chooseNextDomain(weights, wish, tried)
+      if (failureDomain === undefined) return new Err(lastFailure ?? { error: createNoCapacityError(context), occupancy: undefined })
       tried.add(failureDomain)
       const pool = this.places.find(context.service, failureDomain)
       if (pool === undefined) continue
-      const grant = await this.acquireIn(pool, search)
+      const grant = await this.acquireFromPool(pool, request)
       if (grant.ok) return new Ok({ grant: grant.val, failureDomain })
-      const full: NoSlot = { error: grant.val, room: { waiting: pool.waiting, slots: pool.slots } }
-      if (grant.val.code !== ErrorCode.Exhausted) return new Err(full)
-      last = full
+      const failure: SlotFailure = { error: grant.val, occupancy: { waiting: pool.waiting, slots: pool.slots } }
+      if (grant.val.code !== ErrorCode.Exhausted) return new Err(failure)
+      lastFailure = failure
     }
   }
 
-  private acquireIn (pool: PlacePool, search: SlotSearch): Promise<Result<SlotGrant, StepError>> {
-    const { context, wish, deadline, signal } = search
+  private acquireFromPool (pool: PlacePool, request: SlotRequest): Promise<Result<SlotGrant, StepError>> {
+    const { context, wish, deadline, signal } = request
     const { priority, kind } = context.route
     return pool.acquire({ priority, kind, deadline, excluded: wish.excludedWorkers, signal })
   }
 
-  private chooseNext (weights: Readonly<Record<string, number>>, wish: PlaceWish, tried: ReadonlySet<string>): string | undefined {
+  private chooseNextDomain (weights: Readonly<Record<string, number>>, wish: PlaceWish, tried: ReadonlySet<string>): string | undefined {
     const { preferred, avoided } = wish
     if (preferred !== undefined && !tried.has(preferred) && (weights[preferred] ?? 0) > 0) return preferred
     const others = new Set([...tried, ...avoided])
-    return chooseDomain(weights, others, this.random) ?? chooseDomain(weights, tried, this.random)
+    return chooseFailureDomain(weights, others, this.random) ?? chooseFailureDomain(weights, tried, this.random)
   }
 }
 
-function createNoPlaceError (context: RequestContext): StepError {
+function createNoCapacityError (context: RequestContext): StepError {
   return new StepError({
     code: ErrorCode.Exhausted,
     step: 'choose-place',
     peer: `${context.service}/${context.clientRegion}`,
-    message: 'no failure domain can serve this now'
+    message: 'no failure domain has capacity for this request'
   })
 }
--- a/packages/daemon/src/node/stop/daemonStop.ts
+++ b/packages/daemon/src/node/stop/daemonStop.ts
@@ -1,6 +1,6 @@
 /**
- * The graceful stop of a daemon: out of look-ups first, then it serves until the
- * last cached look-up has run out and the last open request has ended.
+ * Graceful shutdown of a daemon: it is removed from look-ups first, then serves until
+ * the last cached look-up has expired and the last open request has ended.
  */
 import type { IClock, Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
@@ -8,11 +8,11 @@
 import type { LookupLifetime } from './lookupLifetime.js'
 import { StopSequence, type StopStep, StopStepEnd, waitUntilDone } from './stopSequence.js'
 
-/** The names of the steps, as logged. */
+/** Names of the steps, as they are logged. */
 export enum StopStepName {
-  /** Peers learn that this node leaves and name it in no look-up from then on. */
+  /** Tells peers that this node is leaving, so that they exclude it from look-ups. */
   Announce = 'announce-leaving',
-  /** Cached look-ups still name this node; it serves until they have run out. */
+  /** Keeps serving until cached look-ups that name this node have expired. */
   ServeCachedLookups = 'serve-cached-look-ups',
   StopListening = 'stop-listening',
   FinishOpenRequests = 'finish-open-requests',
@@ -20,49 +20,49 @@
 }
 
 /**
- * After this silence peers leave a node out of look-ups unasked, so that one out
- * of reach need not be waited for longer.
+ * Peers exclude a node from look-ups after this long without a heartbeat, so an
+ * unreachable peer needn't be waited for any longer.
  */
-const ANNOUNCE_SPAN_MS = 5_000
-const ANNOUNCE_POLL_SPAN_MS = 200
+const ANNOUNCE_TIMEOUT_MS = 5_000
+const ANNOUNCE_POLL_INTERVAL_MS = 200
 /**
- * For requests that left a caller just before its look-up ran out, and for a
- * peer's heartbeat that crossed the announcement: answered before it and read after
- * it, it makes that peer name this node again until its next heartbeat, 0.6 s later.
+ * Covers requests sent just before the caller's look-up expired, and heartbeats that
+ * cross the announcement: a response sent before the announcement and read after it
+ * makes the peer name this node again until its next heartbeat, 0.6 s later.
  */
-const LOOKUP_GRACE_SPAN_MS = 1_000
-const FINISH_SPAN_MS = 600_000
-const FINISH_POLL_SPAN_MS = 20
-/** Answers that have been written whole still have to leave the socket. */
-const CLOSE_SPAN_MS = 2_000
+const LOOKUP_GRACE_MS = 1_000
+const FINISH_TIMEOUT_MS = 600_000
+const POLL_INTERVAL_MS = 20
+/** Completely written responses must still be flushed from the socket. */
+const CLOSE_TIMEOUT_MS = 2_000
 
-/** What the stop does to the daemon. */
+/** The daemon's operations that a shutdown uses. */
 export interface StopTarget {
-  /** Makes `Leaving` the own state; look-ups answered here follow at once. */
+  /** Sets this node's state to `Leaving`, which excludes it from look-ups answered here. */
   startLeaving(): void
-  /** Speaks to all peers. @returns whether all that live have heard */
+  /** Sends this node's state to all peers. @returns whether all live peers have received it */
   publishState(): Promise<boolean>
-  /** @returns how long word of a state takes to reach all nodes of a large fleet, in milliseconds */
-  getSpreadSpanMs(): number
-  /** Takes no new connections and closes idle ones. */
+  /** @returns how long a state takes to propagate to all nodes of a large fleet, in milliseconds */
+  getPropagationTimeMs(): number
+  /** Stops accepting connections and closes idle ones. */
   stopListening(): void
-  /** @returns open requests of callers */
+  /** @returns the number of callers' open requests */
   countOpenRequests(): number
-  /** @returns callers' connections that are open */
+  /** @returns the number of callers' open connections */
   countConnections(): Promise<number>
 }
 
-/** How a stop ended. */
+/** The result of a shutdown. */
 export interface StopReport {
-  /** Requests that were open when the daemon closed: 0 unless forced. */
+  /** Number of requests that were open when the daemon closed: 0 unless the shutdown was forced or timed out. */
   readonly cutRequests: number
 }
 
-/** Leaves, and stops, in order. */
+/** Shuts the daemon down step by step. */
 export class DaemonStop {
   private readonly sequence: StopSequence
-  /** Run once peers know, before waiting: what this node holds is handed on here. */
-  private readonly handOver: StopStep[] = []
+  /** Steps that hand over what this node holds. They run after peers were told, before waiting. */
+  private readonly handOverSteps: StopStep[] = []
   private announcedAt: Instant | undefined
 
   constructor (
@@ -75,20 +75,20 @@
   }
 
   /**
-   * Adds a step that hands on what this node holds (its parts of limits). It runs
-   * after peers know that this node leaves, before the wait for cached look-ups.
-   * @param step what to do; it may run again
+   * Adds a step that hands over what this node holds (its shares of limits). It runs
+   * after peers were told that this node is leaving, before the wait for cached look-ups.
+   * @param step the step; it may run more than once
    */
   addHandOver (step: StopStep): void {
-    this.handOver.push(step)
+    this.handOverSteps.push(step)
   }
 
-  /** Leaves look-ups and hands over, and goes on serving: the platform says that this VM will go. */
+  /** Leaves look-ups and hands over, but keeps serving, because the platform announced that this VM will be removed. */
   async leave (): Promise<void> {
     await new StopSequence(this.clock, this.logger).run(this.listLeaveSteps())
   }
 
-  /** @returns settled when nothing is open any more, or when forced */
+  /** @returns the result, once nothing is open any more, the time limit has passed or the shutdown was forced */
   async run (): Promise<StopReport> {
     this.logger.log(LogLevel.Info, { step: 'stop', inFlight: this.target.countOpenRequests() }, 'leaving')
     const results = await this.sequence.run([...this.listLeaveSteps(), ...this.listStopSteps()])
@@ -98,49 +98,49 @@
     return { cutRequests }
   }
 
-  /** Ends the waiting: what is still open will be cut. */
+  /** Forces the shutdown: requests that are still open will be aborted. */
   stopWaiting (): void {
-    this.logger.log(LogLevel.Warn, { step: 'stop', inFlight: this.target.countOpenRequests() }, 'told to stop at once')
+    this.logger.log(LogLevel.Warn, { step: 'stop', inFlight: this.target.countOpenRequests() }, 'shutdown forced')
     this.sequence.stopWaiting()
   }
 
   private listLeaveSteps (): StopStep[] {
-    const announce = this.createStep(StopStepName.Announce, () => this.createDeadline(Math.max(ANNOUNCE_SPAN_MS, this.target.getSpreadSpanMs())), async (context) => {
+    const announce = this.createStep(StopStepName.Announce, () => this.createDeadline(Math.max(ANNOUNCE_TIMEOUT_MS, this.target.getPropagationTimeMs())), async (context) => {
       this.target.startLeaving()
-      await waitUntilDone(this.clock, context, ANNOUNCE_POLL_SPAN_MS, () => this.target.publishState())
+      await waitUntilDone(this.clock, context, ANNOUNCE_POLL_INTERVAL_MS, () => this.target.publishState())
     })
-    return [announce, ...this.handOver]
+    return [announce, ...this.handOverSteps]
   }
 
   private listStopSteps (): StopStep[] {
     const { target, clock } = this
     return [
-      this.createStep(StopStepName.ServeCachedLookups, () => createDeadline(this.getLookupsEnd(), LOOKUP_GRACE_SPAN_MS + CLOSE_SPAN_MS), async (context) => {
-        const end = createDeadline(this.getLookupsEnd(), LOOKUP_GRACE_SPAN_MS)
-        await waitUntilDone(clock, context, FINISH_POLL_SPAN_MS, () => clock.now() >= end)
+      this.createStep(StopStepName.ServeCachedLookups, () => createDeadline(this.getLookupExpiry(), LOOKUP_GRACE_MS + CLOSE_TIMEOUT_MS), async (context) => {
+        const end = createDeadline(this.getLookupExpiry(), LOOKUP_GRACE_MS)
+        await waitUntilDone(clock, context, POLL_INTERVAL_MS, () => clock.now() >= end)
       }),
-      this.createStep(StopStepName.StopListening, () => this.createDeadline(CLOSE_SPAN_MS), async () => target.stopListening()),
-      this.createStep(StopStepName.FinishOpenRequests, () => this.createDeadline(FINISH_SPAN_MS), (context) =>
-        waitUntilDone(clock, context, FINISH_POLL_SPAN_MS, () => target.countOpenRequests() === 0)),
-      this.createStep(StopStepName.CloseConnections, () => this.createDeadline(CLOSE_SPAN_MS), (context) =>
-        waitUntilDone(clock, context, FINISH_POLL_SPAN_MS, async () => {
+      this.createStep(StopStepName.StopListening, () => this.createDeadline(CLOSE_TIMEOUT_MS), async () => target.stopListening()),
+      this.createStep(StopStepName.FinishOpenRequests, () => this.createDeadline(FINISH_TIMEOUT_MS), (context) =>
+        waitUntilDone(clock, context, POLL_INTERVAL_MS, () => target.countOpenRequests() === 0)),
+      this.createStep(StopStepName.CloseConnections, () => this.createDeadline(CLOSE_TIMEOUT_MS), (context) =>
+        waitUntilDone(clock, context, POLL_INTERVAL_MS, async () => {
           target.stopListening()
           return await target.countConnections() === 0
         }))
     ]
   }
 
-  private getLookupsEnd (): Deadline {
-    // Fixed when first asked, else every question would move the end away.
+  private getLookupExpiry (): Deadline {
+    // Set at the first call only, otherwise every call would postpone the expiry.
     this.announcedAt ??= this.clock.now()
-    return this.lifetime.getEnd(this.announcedAt)
+    return this.lifetime.getExpiry(this.announcedAt)
   }
 
   private createStep (name: StopStepName, getDeadline: () => Deadline, run: StopStep['run']): StopStep {
     return { name, getDeadline, run }
   }
 
-  private createDeadline (spanMs: number): Deadline {
-    return createDeadline(this.clock.now(), spanMs)
+  private createDeadline (timeoutMs: number): Deadline {
+    return createDeadline(this.clock.now(), timeoutMs)
   }
 }
--- a/packages/daemon/src/node/stop/stopSequence.ts
+++ b/packages/daemon/src/node/stop/stopSequence.ts
@@ -1,4 +1,4 @@
-/** Runs the steps of a graceful stop one after the other, each bounded by a deadline and logged. */
+/** Runs the steps of a graceful shutdown in order, and bounds each by a deadline and logs it. */
 import type { IClock } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
 import { toStepError } from '@umberspar/base/common/errors'
@@ -7,63 +7,63 @@
 /** How a step ended. */
 export enum StopStepEnd {
   Done = 'done',
-  /** It had not ended by its deadline; the next step goes on. */
+  /** It had not ended by its deadline, and the next step was started. */
   DeadlinePassed = 'deadline-passed',
   Failed = 'failed',
-  /** Ended, or left out, because a second signal asked for haste. */
+  /** Aborted or skipped because the shutdown was forced by a second signal. */
   Forced = 'forced'
 }
 
-/** What a step is given. */
+/** Passed to each step. */
 export interface StopContext {
-  /** When the next step goes on, done or not. */
+  /** When the next step starts, whether or not this one has ended. */
   readonly deadline: Deadline
-  /** Aborted at the deadline, and when the stop is forced. */
+  /** Aborted at the deadline, and when the shutdown is forced. */
   readonly signal: AbortSignal
 }
 
-/** One step of a stop. It may run again after it has run: a leaving VM may be stopped later. */
+/** One step of a shutdown. It may run more than once: a VM that is leaving may be stopped later. */
 export interface StopStep {
-  /** Lower-case words joined by hyphens, as logged. */
+  /** Lower-case words joined by hyphens, as they are logged. */
   readonly name: string
-  /** @returns when to go on without it, decided as the step begins */
+  /** @returns when to continue without the step, determined when it starts */
   getDeadline(): Deadline
-  /** @returns settled once the step has reached its aim */
+  /** @returns a promise that settles when the step is done */
   run(context: StopContext): Promise<void>
 }
 
-/** How one step ended. */
+/** The result of one step. */
 export interface StopStepResult {
   readonly name: string
   readonly end: StopStepEnd
 }
 
-/** Runs ordered steps. */
+/** Runs steps in order. */
 export class StopSequence {
-  private readonly forced = new AbortController()
+  private readonly forceAbort = new AbortController()
 
   constructor (
     private readonly clock: IClock,
     private readonly logger: ILogger
   ) {}
 
-  /** Ends the step that runs and leaves out those that follow. */
+  /** Aborts the current step and skips the following ones. */
   stopWaiting (): void {
-    this.forced.abort()
+    this.forceAbort.abort()
   }
 
   /**
-   * @param steps what to do, in order
-   * @returns how each step ended
+   * @param steps the steps in order
+   * @returns the result of each step
    */
   async run (steps: readonly StopStep[]): Promise<StopStepResult[]> {
     const results: StopStepResult[] = []
     for (const step of steps) {
       const startedAt = this.clock.now()
-      this.logger.log(LogLevel.Info, { step: step.name }, 'stop step begins')
-      const end = this.forced.signal.aborted ? StopStepEnd.Forced : await this.runStep(step)
+      this.logger.log(LogLevel.Info, { step: step.name }, 'shutdown step started')
+      const end = this.forceAbort.signal.aborted ? StopStepEnd.Forced : await this.runStep(step)
       const level = end === StopStepEnd.Done ? LogLevel.Info : LogLevel.Warn
-      this.logger.log(level, { step: step.name, end, tookMs: Math.round(this.clock.now() - startedAt) }, 'stop step ended')
+      this.logger.log(level, { step: step.name, end, tookMs: Math.round(this.clock.now() - startedAt) }, 'shutdown step ended')
       results.push({ name: step.name, end })
     }
     return results
@@ -71,19 +71,19 @@
 
   private async runStep (step: StopStep): Promise<StopStepEnd> {
     const deadline = step.getDeadline()
-    const ending = new AbortController()
-    const bounded = new Promise<StopStepEnd>((resolve) => {
-      ending.signal.addEventListener('abort', () => resolve(ending.signal.reason as StopStepEnd), { once: true })
+    const stepAbort = new AbortController()
+    const aborted = new Promise<StopStepEnd>((resolve) => {
+      stepAbort.signal.addEventListener('abort', () => resolve(stepAbort.signal.reason as StopStepEnd), { once: true })
     })
-    const timer = this.clock.schedule(deadline, () => ending.abort(StopStepEnd.DeadlinePassed))
-    const cancel = (): void => ending.abort(StopStepEnd.Forced)
-    this.forced.signal.addEventListener('abort', cancel, { once: true })
+    const timer = this.clock.schedule(deadline, () => stepAbort.abort(StopStepEnd.DeadlinePassed))
+    const cancel = (): void => stepAbort.abort(StopStepEnd.Forced)
+    this.forceAbort.signal.addEventListener('abort', cancel, { once: true })
     try {
-      // A step that never settles must not keep the VM from being replaced.
-      return await Promise.race([this.runLogged(step, { deadline, signal: ending.signal }), bounded])
+      // A step that never settles must not prevent the VM from being replaced.
+      return await Promise.race([this.runLogged(step, { deadline, signal: stepAbort.signal }), aborted])
     } finally {
       timer.close()
-      this.forced.signal.removeEventListener('abort', cancel)
+      this.forceAbort.signal.removeEventListener('abort', cancel)
     }
   }
 
@@ -100,17 +100,17 @@
 }
 
 /**
- * Asks again and again until the answer is yes or the step is over.
- * @param clock the source of time
- * @param context the step's
- * @param pollSpanMs the span between two questions, in milliseconds
- * @param isDone the question
- * @returns settled once done or over
+ * Polls a condition until it is true or the step ends.
+ * @param clock the time source
+ * @param context the step's context
+ * @param pollIntervalMs the time between two polls
+ * @param isDone the condition
+ * @returns a promise that settles when the condition is true or the step has ended
  */
-export async function waitUntilDone (clock: IClock, context: StopContext, pollSpanMs: number, isDone: () => boolean | Promise<boolean>): Promise<void> {
+export async function waitUntilDone (clock: IClock, context: StopContext, pollIntervalMs: number, isDone: () => boolean | Promise<boolean>): Promise<void> {
   while (!context.signal.aborted) {
     if (await isDone()) return
-    const next = Math.min(context.deadline, createDeadline(clock.now(), pollSpanMs))
+    const next = Math.min(context.deadline, createDeadline(clock.now(), pollIntervalMs))
     await new Promise<void>((resolve) => { clock.schedule(next, resolve) })
   }
 }
--- a/packages/daemon/src/node/tls/daemonTls.ts
+++ b/packages/daemon/src/node/tls/daemonTls.ts
@@ -1,4 +1,4 @@
-/** All certificates of one daemon: loaded at the start, read again at intervals and on request. */
+/** Certificates of one daemon, loaded at the start and reloaded periodically and on request. */
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { createDeadline } from '@umberspar/base/common/deadline'
@@ -11,11 +11,11 @@
 import { TlsKeeper } from '@umberspar/adapters/node/tls/tlsKeeper'
 import type { TlsFiles } from '@umberspar/adapters/node/tls/tlsMaterial'
 
-const DEFAULT_REREAD_MS = 60_000
-/** Many VMs get their files renewed at once; their reads and handshakes spread out. */
-const REREAD_JITTER = 0.2
+const DEFAULT_RELOAD_INTERVAL_MS = 60_000
+/** Spreads out the reloads and handshakes of many VMs whose files are renewed at the same time. */
+const RELOAD_JITTER_RATIO = 0.2
 
-/** The sides that may speak TLS, each with certificates of its own. */
+/** The connections of a daemon that may use TLS, each with its own certificates. */
 export enum TlsSide {
   Callers = 'callers',
   Peers = 'peers',
@@ -24,7 +24,7 @@
   Upstreams = 'upstreams'
 }
 
-/** What a DaemonTls works with. */
+/** Settings and services that a `DaemonTls` uses. */
 export interface DaemonTlsOptions {
   readonly settings: DaemonSettings
   readonly clock: IClock
@@ -32,7 +32,7 @@
   readonly logger: ILogger
 }
 
-/** The certificates of the sides whose settings have a `tls` section. */
+/** Holds the certificates of all sides whose settings have a `tls` section. */
 export class DaemonTls implements IClosable {
   private timer: ITimer | undefined
   private isClosed = false
@@ -43,9 +43,9 @@
   ) {}
 
   /**
-   * Reads every certificate that the settings name.
-   * @param options settings and ports
-   * @returns the certificates, or the first that can't be used, with its field
+   * Loads all certificates that the settings name.
+   * @param options the settings and services
+   * @returns the certificates, or the error of the first invalid one, with its settings field
    */
   static async load (options: DaemonTlsOptions): Promise<Result<DaemonTls, StepError>> {
     const { settings, clock, logger } = options
@@ -64,13 +64,13 @@
 
   /**
    * @param side one side of the daemon
-   * @returns its certificates; undefined if it speaks plain text
+   * @returns the side's certificates, or undefined if it doesn't use TLS
    */
   get (side: TlsSide): TlsKeeper | undefined {
     return this.keepers.get(side)
   }
 
-  /** Reads all files again now; what is broken stays as it was and is logged. */
+  /** Reloads all files now. Invalid files are logged, and the previous certificates stay in use. */
   async renew (): Promise<void> {
     await Promise.all([...this.keepers.values()].map((keeper) => keeper.renew()))
   }
@@ -84,8 +84,8 @@
   private scheduleRenewal (): void {
     if (this.isClosed || this.keepers.size === 0) return
     const { settings, clock, random, logger } = this.options
-    const span = addJitter(random, settings.certificateRereadMs ?? DEFAULT_REREAD_MS, REREAD_JITTER)
-    this.timer = clock.schedule(createDeadline(clock.now(), span), () => {
+    const intervalMs = addJitter(random, settings.certificateRereadMs ?? DEFAULT_RELOAD_INTERVAL_MS, RELOAD_JITTER_RATIO)
+    this.timer = clock.schedule(createDeadline(clock.now(), intervalMs), () => {
       runDetached(() => this.renew().finally(() => this.scheduleRenewal()), logger, 'renew-tls')
     })
   }
--- a/packages/daemon/test/node/callers/clientBlockBuilder.test.ts
+++ b/packages/daemon/test/node/callers/clientBlockBuilder.test.ts
@@ -1,4 +1,4 @@
-/** Building client blocks holds the loop for short stretches only, and the table in use is always a whole one. */
+/** Building client blocks blocks the event loop only briefly at a time, and the table in use is always a complete one. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { IClock } from '@umberspar/base/common/clock'
@@ -6,31 +6,31 @@
 import type { ClientBlockGroup } from '@umberspar/steering/common/lookup/clientBlocks'
 import { ClientBlockBuilder } from '../../../src/node/callers/clientBlockBuilder.js'
 
-const BLOCKS = 20_000
+const BLOCK_COUNT = 20_000
 const ADDRESS = '10.1.2.3'
 
-/** Each reading is a millisecond later, so that a stretch has a fixed number of slices. */
+/** Advances one millisecond with each reading, so that each batch has a fixed number of slices. */
 function createSteppingClock (): IClock {
   let now = 0
   return { now: () => now++, getWallTime: () => 0, schedule: () => ({ close: () => {} }) }
 }
 
 function buildGroups (name: string): ClientBlockGroup[] {
-  const prefixes = Array.from({ length: BLOCKS }, (_, index) => `10.${index >> 8}.${index & 255}.0/24`)
+  const prefixes = Array.from({ length: BLOCK_COUNT }, (_, index) => `10.${index >> 8}.${index & 255}.0/24`)
   return [{ group: name, prefixes }]
 }
 
-/** A loop of which each turn is begun by the test. */
-class HeldLoop {
-  private goOn: (() => void) | undefined
+/** An event loop whose turns are started by the test. */
+class ManualEventLoop {
+  private resume: (() => void) | undefined
   turns = 0
 
-  readonly wait = (): Promise<void> => new Promise((resolve) => { this.goOn = resolve })
+  readonly wait = (): Promise<void> => new Promise((resolve) => { this.resume = resolve })
 
   async runTurn (): Promise<boolean> {
-    const { goOn } = this
+    const { resume: goOn } = this
     if (goOn === undefined) return false
-    this.goOn = undefined
+    this.resume = undefined
     this.turns++
     goOn()
     await new Promise((resolve) => { setImmediate(resolve) })
@@ -43,11 +43,11 @@
 }
 
 describe('ClientBlockBuilder', () => {
-  it('lets the loop run between stretches and serves by the whole table before', async () => {
-    // Story: an operator adds client blocks to a table of many. Built at one go,
-    // it stopped the daemon's loop for two seconds: every caller waited, peers
-    // heard no heartbeat and took the node out of look-ups.
-    const loop = new HeldLoop()
+  it('yields to the event loop between slices and keeps the previous table in use', async () => {
+    // An operator adds client blocks to a large table. Built synchronously, it blocked
+    // the daemon's event loop for two seconds: every caller waited, and peers received
+    // no heartbeat and removed the node from look-ups.
+    const loop = new ManualEventLoop()
     const builder = new ClientBlockBuilder(createSteppingClock(), NULL_LOGGER, loop.wait)
     builder.update(buildGroups('klang'))
     assert.equal(builder.isCurrent, false)
@@ -62,17 +62,17 @@
     assert.equal(builder.table.find(ADDRESS), 'penang')
   })
 
-  it('builds few blocks before it returns', () => {
+  it('builds a small table before it returns', () => {
     const builder = new ClientBlockBuilder({ ...createSteppingClock(), now: () => 0 }, NULL_LOGGER)
     builder.update([{ group: 'klang', prefixes: ['10.0.0.0/8'] }])
     assert.equal(builder.table.find(ADDRESS), 'klang')
   })
 
-  it('ends with the groups set last, however they came in while it built', async () => {
-    // Story: three changes come faster than a table is built. A caller that is
-    // sent by the second one's blocks would stay in the wrong region until the
-    // next change; were each build given up for the next, by the blocks of long ago.
-    const loop = new HeldLoop()
+  it('ends with the most recent groups after several changes during a build', async () => {
+    // Three changes come faster than a table is built. If the last one were lost,
+    // callers would be assigned to wrong regions until the next change. If each change
+    // aborted the running build, an outdated table would stay in use.
+    const loop = new ManualEventLoop()
     const builder = new ClientBlockBuilder(createSteppingClock(), NULL_LOGGER, loop.wait)
     builder.update(buildGroups('klang'))
     await loop.runTurn()
@@ -83,8 +83,8 @@
     assert.equal(builder.isCurrent, true)
   })
 
-  it('stops at the next stretch when it is closed', async () => {
-    const loop = new HeldLoop()
+  it('stops at the next yield when it is closed', async () => {
+    const loop = new ManualEventLoop()
     const builder = new ClientBlockBuilder(createSteppingClock(), NULL_LOGGER, loop.wait)
     builder.update(buildGroups('klang'))
     builder.close()
