--- a/packages/daemon/test/node/configuration/memoryStore.ts
+++ b/packages/daemon/test/node/configuration/memoryStore.ts
@@ -1,64 +1,64 @@
-/** An in-memory store whose calls a scheduler puts in order, and whose answers may be lost. */
+/** An in-memory store whose calls are ordered by a scheduler, and whose requests and responses may be lost. */
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { Emitter } from '@umberspar/base/common/event'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
 import type { GrantedLease, IKeyValueStore, IStoreWatch, StoreChange, StoredValue, StoreSnapshot, StoreTransaction, TransactionResult, WatchEnd } from '@umberspar/steering/common/ports/keyValueStore'
 
-/** What becomes of one write. */
+/** What happens to one write. */
 export enum WriteFault {
   None = 'none',
-  /** It takes effect; the answer is lost. */
+  /** It is applied, but its response is lost. */
   LostAnswer = 'lost-answer',
-  /** It is reported as lost first and takes effect later, or never if its condition fails by then. */
+  /** It is first reported as lost and applied later, unless its condition fails by then. */
   Late = 'late',
-  /** It never arrives, which the client can't know. */
+  /** It never arrives, which the client can't detect. */
   LostRequest = 'lost-request',
-  /** The store refuses it: too many calls. */
+  /** The store refuses it because of its rate limit. */
   OverRate = 'over-rate'
 }
 
-/** The published server's limits. */
+/** The limits of the real server. */
 const MAX_OPERATIONS = 128
 const MAX_VALUE_BYTES = 1_048_576
 
-/** Waits until the scheduler lets the named step go on. */
-export type Turn = (label: string) => Promise<void>
+/** Waits until the scheduler runs the named step. */
+export type WaitForTurn = (label: string) => Promise<void>
 
-/** What several daemons share. */
+/** A store that several daemons share. */
 export class MemoryStore implements IKeyValueStore {
-  readonly late: Array<Promise<void>> = []
+  readonly lateWrites: Array<Promise<void>> = []
   private values = new Map<string, StoredValue>()
   private revision = 0
 
   /**
-   * @param turn puts calls in order
-   * @param faults what becomes of the next writes; none once they have run out
+   * @param waitForTurn determines the order of calls
+   * @param faults what happens to the next writes; further writes succeed
    */
-  constructor (private readonly turn: Turn = async () => {}, readonly faults: WriteFault[] = []) {}
+  constructor (private readonly waitForTurn: WaitForTurn = async () => {}, readonly faults: WriteFault[] = []) {}
 
-  /** @returns the keys that begin with a prefix */
+  /** @returns the sorted keys that begin with a prefix */
   listKeys (prefix: string): string[] {
     return [...this.values.keys()].filter((key) => key.startsWith(prefix)).sort()
   }
 
-  /** @returns what is stored, for a restore */
+  /** @returns a backup of the stored values */
   saveState (): Map<string, StoredValue> {
     return new Map(this.values)
   }
 
-  /** Goes back to an old state. */
+  /** Restores a backup. */
   loadState (saved: ReadonlyMap<string, StoredValue>): void {
     this.values = new Map(saved)
   }
 
   async get (key: string): Promise<Result<StoredValue | undefined, StepError>> {
-    await this.turn('get')
+    await this.waitForTurn('get')
     return new Ok(this.values.get(key))
   }
 
   async list (prefix: string): Promise<Result<StoreSnapshot, StepError>> {
-    await this.turn('list')
+    await this.waitForTurn('list')
     const values = this.listKeys(prefix).flatMap((key) => this.values.get(key) ?? [])
     return new Ok({ values, revision: this.revision })
   }
@@ -66,12 +66,12 @@
   async transact (transaction: StoreTransaction): Promise<Result<TransactionResult, StepError>> {
     checkLimits(transaction)
     const fault = this.faults.shift() ?? WriteFault.None
-    if (fault === WriteFault.Late) this.late.push(this.applyLater(transaction))
-    await this.turn('arrive')
+    if (fault === WriteFault.Late) this.lateWrites.push(this.applyLater(transaction))
+    await this.waitForTurn('arrive')
     if (fault === WriteFault.OverRate) return new Err(createError(ErrorCode.Exhausted))
     const isApplied = fault === WriteFault.None || fault === WriteFault.LostAnswer
     const result = isApplied ? this.applyNow(transaction) : undefined
-    await this.turn('answer')
+    await this.waitForTurn('answer')
     if (result === undefined || fault === WriteFault.LostAnswer) return new Err(createError(ErrorCode.EffectUnknown))
     return new Ok(result)
   }
@@ -95,8 +95,8 @@
   close (): void {}
 
   private async applyLater (transaction: StoreTransaction): Promise<void> {
-    // Several turns: between them the client may settle, and others may write.
-    for (const label of ['late 1', 'late 2', 'late 3', 'late 4', 'late 5', 'late 6']) await this.turn(label)
+    // Waits several turns, so that the client may resolve the write and others may write in between.
+    for (const label of ['late 1', 'late 2', 'late 3', 'late 4', 'late 5', 'late 6']) await this.waitForTurn(label)
     this.applyNow(transaction)
   }
 
--- a/packages/daemon/test/node/configuration/patchService.test.ts
+++ b/packages/daemon/test/node/configuration/patchService.test.ts
@@ -1,4 +1,4 @@
-/** Patches under every order of calls that a scheduler finds: one wins, nobody is told a lie. */
+/** Tests concurrent patches in randomly scheduled orders of store calls: one wins, and every reported result is correct. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
@@ -8,14 +8,14 @@
 import { computeDigest } from '@umberspar/steering/common/configuration/canonicalJson'
 import { PatchRefusalKind } from '@umberspar/steering/common/configuration/patchConfiguration'
 import { ConfigurationKeeper, LearnSource } from '../../../src/node/configuration/configurationKeeper.js'
-import { ConfigurationStore, HISTORY_LIMIT } from '../../../src/node/configuration/configurationStore.js'
+import { ConfigurationStore, MAX_HISTORY_ENTRIES } from '../../../src/node/configuration/configurationStore.js'
 import { PatchService, type PatchRequest } from '../../../src/node/configuration/patchService.js'
-import { MemoryStore, type Turn, WriteFault } from './memoryStore.js'
+import { MemoryStore, type WaitForTurn, WriteFault } from './memoryStore.js'
 
 const SEED = 5_173
 const PREFIX = '/test/'
 const BODY_PREFIX = `${PREFIX}config/body/`
-const FAR = Number.MAX_SAFE_INTEGER
+const FAR_DEADLINE = Number.MAX_SAFE_INTEGER
 
 const INITIAL = {
   deployment: 'test',
@@ -24,11 +24,11 @@
   shiftCaps: { planned: 0.1, emergency: 0.5 }
 }
 
-/** Time that stands still but for timers, which fire in turn and carry it along. */
-class TurnClock implements IClock {
+/** A clock that advances only when the scheduler fires a timer. */
+class ScheduledClock implements IClock {
   private present = 0
 
-  constructor (private readonly turn: Turn) {}
+  constructor (private readonly waitForTurn: WaitForTurn) {}
 
   now (): number {
     return this.present
@@ -40,7 +40,7 @@
 
   schedule (at: number, callback: () => void): { close: () => void } {
     let isClosed = false
-    this.turn('timer').then(() => {
+    this.waitForTurn('timer').then(() => {
       this.present = Math.max(this.present, at)
       if (!isClosed) callback()
     }, () => {})
@@ -54,12 +54,12 @@
   readonly patches: PatchService
 }
 
-const NO_TURN: Turn = async () => {}
+const NO_WAIT: WaitForTurn = async () => {}
 
-function createTestDaemon (store: MemoryStore, turn: Turn = NO_TURN): TestDaemon {
+function createTestDaemon (store: MemoryStore, waitForTurn: WaitForTurn = NO_WAIT): TestDaemon {
   const keeper = new ConfigurationKeeper({ computeDigest }, NULL_LOGGER)
   const configurations = new ConfigurationStore(store, PREFIX)
-  return { keeper, configurations, patches: new PatchService(configurations, keeper, { computeDigest }, new TurnClock(turn), NULL_LOGGER) }
+  return { keeper, configurations, patches: new PatchService(configurations, keeper, { computeDigest }, new ScheduledClock(waitForTurn), NULL_LOGGER) }
 }
 
 function createRequest (changeId: string, cacheMs: number, baseVersion = 1): PatchRequest {
@@ -71,8 +71,8 @@
   assert.ok(first.ok)
 }
 
-/** Clean-up that goes on after an answer. */
-async function settleDetached (): Promise<void> {
+/** Waits for the clean-up that continues after a patch is answered. */
+async function waitForCleanup (): Promise<void> {
   for (let turn = 0; turn < 50; turn++) await Promise.resolve()
 }
 
@@ -83,41 +83,41 @@
   readonly outcomes: ReadonlyArray<Awaited<ReturnType<PatchService['patch']>>>
 }
 
-/** Lets two daemons take one request each, in an order of the scheduler's choice. */
+/** Sends one request to each of two daemons, with store calls in an order chosen by the scheduler. */
 async function runRace (scheduler: fc.Scheduler, faults: readonly WriteFault[], requests: readonly [PatchRequest, PatchRequest]): Promise<RaceResult> {
   let isFree = true
-  const waitTurn: Turn = async (label) => { if (!isFree) await scheduler.schedule(Promise.resolve(), label) }
+  const waitTurn: WaitForTurn = async (label) => { if (!isFree) await scheduler.schedule(Promise.resolve(), label) }
   const store = new MemoryStore(waitTurn)
   await writeInitial(store)
-  await settleDetached()
+  await waitForCleanup()
   isFree = false
   store.faults.push(...faults)
   const running = Promise.all(requests.map((request) => createTestDaemon(store, waitTurn).patches.patch(request)))
   const outcomes = await scheduler.waitFor(running)
-  await scheduler.waitFor(Promise.all(store.late))
+  await scheduler.waitFor(Promise.all(store.lateWrites))
   isFree = true
   return { store, outcomes }
 }
 
-/** What is in the store is whole: the head's body has its digest, and versions follow each other. */
+/** Checks that the store is consistent: every body matches its digest, and versions are consecutive. */
 async function checkStore (store: MemoryStore): Promise<string[]> {
   const { configurations } = createTestDaemon(store)
-  const history = (await configurations.listHistory(FAR)).unwrap()
-  const head = (await configurations.readHead(FAR)).unwrap()?.head
+  const history = (await configurations.listHistory(FAR_DEADLINE)).unwrap()
+  const head = (await configurations.readHead(FAR_DEADLINE)).unwrap()?.head
   assert.deepEqual(history.map((entry) => entry.version), history.map((_, index) => history.length - index))
   assert.equal(history[0]?.changeId, head?.changeId)
   for (const entry of history) {
-    const body = (await configurations.readBody(entry, FAR)).unwrap()
+    const body = (await configurations.readBody(entry, FAR_DEADLINE)).unwrap()
     assert.equal(computeDigest(body.text), entry.digest)
   }
   return history.map((entry) => entry.changeId)
 }
 
-describe('two operators race', () => {
-  it('exactly one wins, and the other learns of it; nobody is told a lie, whatever is lost or late', async () => {
-    // Two operators patch version 1 at two daemons. Answers of the store are lost,
-    // and writes arrive after their daemon has given up on them. An operator who is
-    // told "refused" and tries again would otherwise find the change made twice.
+describe('concurrent patches', () => {
+  it('exactly one wins and the other is refused; results are correct whichever requests or responses are lost or late', async () => {
+    // Two operators patch version 1 on two daemons. Responses of the store are lost, and
+    // writes arrive after their daemon has timed out. If a patch were reported as refused
+    // although it was applied, an operator who retries would apply the change twice.
     await fc.assert(fc.asyncProperty(fc.scheduler(), faultsArbitrary, async (scheduler, faults) => {
       const { store, outcomes } = await runRace(scheduler, faults, [createRequest('a', 1000), createRequest('b', 3000)])
       const accepted = await checkStore(store)
@@ -134,9 +134,9 @@
     }), { seed: SEED, numRuns: 300 })
   })
 
-  it('one change id sent to two daemons at once takes effect once, and both say so', async () => {
-    // An operator's client sends the same change again to another daemon, because
-    // the first was slow. Both answers must name the one version that was made.
+  it('one change id sent to two daemons at once is applied once, and both report the same version', async () => {
+    // An operator's client sends the same change to another daemon, because the first
+    // was slow. Both responses must name the one version that was created.
     await fc.assert(fc.asyncProperty(fc.scheduler(), faultsArbitrary, async (scheduler, faults) => {
       const request = createRequest('a', 1000)
       const { store, outcomes } = await runRace(scheduler, faults, [request, request])
@@ -158,32 +158,32 @@
   })
 })
 
-describe('a write that arrives after it was given up', () => {
-  it('has no effect once the operator was told that the patch was not accepted', async () => {
-    // The swap is slow under way; the daemon gives it up, tries again, and the store
-    // is too busy. The operator reads "not run" and goes home. The first write
-    // must not land afterwards.
+describe('a write that arrives after it timed out', () => {
+  it('has no effect once the patch was reported as not applied', async () => {
+    // The swap is delayed in transit. The daemon times out and retries, and the store's
+    // rate limit refuses the retry. The operator is told "not run", so the first write
+    // must not be applied afterwards.
     const busy = fc.constantFrom([WriteFault.OverRate], [WriteFault.None, WriteFault.OverRate], [WriteFault.OverRate, WriteFault.None, WriteFault.OverRate])
     await fc.assert(fc.asyncProperty(fc.scheduler(), busy, async (scheduler, faults) => {
       let isFree = true
-      const waitTurn: Turn = async (label) => { if (!isFree) await scheduler.schedule(Promise.resolve(), label) }
+      const waitTurn: WaitForTurn = async (label) => { if (!isFree) await scheduler.schedule(Promise.resolve(), label) }
       const store = new MemoryStore(waitTurn)
       await writeInitial(store)
-      await settleDetached()
+      await waitForCleanup()
       isFree = false
       store.faults.push(WriteFault.None, WriteFault.Late, ...faults)
       const outcome = await scheduler.waitFor(createTestDaemon(store, waitTurn).patches.patch(createRequest('a', 1000)))
-      await scheduler.waitFor(Promise.all(store.late))
+      await scheduler.waitFor(Promise.all(store.lateWrites))
       isFree = true
       assert.equal((await checkStore(store)).includes('a'), outcome.ok)
     }), { seed: SEED, numRuns: 100 })
   })
 })
 
-describe('a daemon dies between body and head', () => {
+describe('a daemon crashes between writing body and head', () => {
   it('its body is removed after the next change', async () => {
-    // The daemon writes a body and is killed. Nobody ever names that body; with
-    // 7,100 changes a day such leftovers would fill the store.
+    // The daemon writes a body and is killed. No head ever refers to that body. With
+    // 7,100 changes a day, such orphans would fill the store.
     const store = new MemoryStore()
     await writeInitial(store)
     const dying = createTestDaemon(store)
@@ -192,14 +192,14 @@
     assert.ok(!failed.ok && failed.val.kind === 'failed' && failed.val.error.code === ErrorCode.Exhausted)
     assert.ok(store.listKeys(`${BODY_PREFIX}2/dead/`).length > 0)
     assert.ok((await createTestDaemon(store).patches.patch(createRequest('next', 3000))).ok)
-    await settleDetached()
+    await waitForCleanup()
     assert.deepEqual(store.listKeys(`${BODY_PREFIX}2/`).map((key) => key.split('/').at(-2)), ['next'])
     assert.deepEqual(store.listKeys(`${PREFIX}config/pending/`), [])
   })
 })
 
 describe('the store’s limits', () => {
-  it('a body above a megabyte goes in chunks, and the history stays bounded', async () => {
+  it('a body above a megabyte is written in chunks, and the history is limited', async () => {
     const store = new MemoryStore()
     await writeInitial(store)
     const daemon = createTestDaemon(store)
@@ -207,24 +207,24 @@
     const large = await daemon.patches.patch({ baseVersion: 1, changeId: 'large', patch: { regions: { klang: { clientBlocks } } }, note: '' })
     assert.equal(large.unwrap().version, 2)
     assert.ok(store.listKeys(`${BODY_PREFIX}2/`).length > 1)
-    const reader = await daemon.configurations.readBody(large.unwrap(), FAR)
+    const reader = await daemon.configurations.readBody(large.unwrap(), FAR_DEADLINE)
     assert.equal(computeDigest(reader.unwrap().text), large.unwrap().digest)
     await daemon.patches.patch({ baseVersion: 2, changeId: 'small', patch: { regions: { klang: { clientBlocks: ['10.0.0.0/16'] } } }, note: '' })
-    for (let version = 3; version < HISTORY_LIMIT + 6; version++) {
+    for (let version = 3; version < MAX_HISTORY_ENTRIES + 6; version++) {
       const patched = await daemon.patches.patch(createRequest(`c${version}`, version, version))
       assert.equal(patched.unwrap().version, version + 1)
-      await settleDetached()
+      await waitForCleanup()
     }
-    const history = (await daemon.configurations.listHistory(FAR)).unwrap()
-    assert.equal(history.length, HISTORY_LIMIT)
-    assert.equal(store.listKeys(BODY_PREFIX).length, HISTORY_LIMIT)
+    const history = (await daemon.configurations.listHistory(FAR_DEADLINE)).unwrap()
+    assert.equal(history.length, MAX_HISTORY_ENTRIES)
+    assert.equal(store.listKeys(BODY_PREFIX).length, MAX_HISTORY_ENTRIES)
   })
 })
 
-describe('a store restored from an old state', () => {
-  it('the higher version stays the base, and no number is given out twice', async () => {
-    // The store is restored from a backup that lacks version 2. A patch that made
-    // a second version 2 would be ignored by every node that has the first.
+describe('a store restored from a backup', () => {
+  it('the newer version stays the base, and no version number is reused', async () => {
+    // The store is restored from a backup that lacks version 2. A patch that created a
+    // second version 2 would be ignored by every node that has the first.
     const store = new MemoryStore()
     await writeInitial(store)
     const backup = store.saveState()
@@ -237,7 +237,7 @@
     assert.equal(next.unwrap().version, 3)
   })
 
-  it('a daemon that is itself behind waits until it has what a peer has', async () => {
+  it('a daemon with an older version than a peer refuses patches until it has caught up', async () => {
     const store = new MemoryStore()
     await writeInitial(store)
     const daemon = createTestDaemon(store)
@@ -247,9 +247,9 @@
     assert.deepEqual(store.listKeys(BODY_PREFIX).length, 1)
   })
 
-  it('a version whose last holder is gone does not stop patches for ever, and its number is not given out again', async () => {
-    // A peer shows version 4, which the restored store lacks, and dies before anybody
-    // fetched it. Operators would be told to wait for a version that never comes.
+  it('a version whose only node is lost does not block patches forever, and its number is not reused', async () => {
+    // A peer reports version 4, which the restored store lacks, and crashes before another
+    // node has fetched it. Operators would have to wait for a version that never arrives.
     const store = new MemoryStore()
     await writeInitial(store)
     const daemon = createTestDaemon(store)
@@ -258,13 +258,13 @@
     assert.equal(accepted.unwrap().version, 5)
   })
 
-  it('a node never goes to a lower version, whoever offers it', async () => {
+  it('a node never reverts to an older version, whoever offers it', async () => {
     const store = new MemoryStore()
     await writeInitial(store)
     const daemon = createTestDaemon(store)
-    const first = (await daemon.configurations.readHead(FAR)).unwrap()
+    const first = (await daemon.configurations.readHead(FAR_DEADLINE)).unwrap()
     assert.ok(first !== undefined)
-    const old = (await daemon.configurations.readBody(first.head, FAR)).unwrap()
+    const old = (await daemon.configurations.readBody(first.head, FAR_DEADLINE)).unwrap()
     await daemon.patches.patch(createRequest('b', 1000))
     for (const source of [LearnSource.Store, LearnSource.Digest, LearnSource.Operator] as const) daemon.keeper.apply(old, 'someone', { source })
     daemon.keeper.apply(old, 'someone', { source: LearnSource.Push, route: undefined })
--- a/packages/daemon/test/node/listener/bodyProgress.test.ts
+++ b/packages/daemon/test/node/listener/bodyProgress.test.ts
@@ -18,10 +18,10 @@
   }
 }
 
-// A phone in a basement uploads photos at a crawl, a worker takes its time with
-// another upload, and somebody drips one byte a minute to hold a slot. Only the
-// last may be ended.
-test('a body that drips is ended; a slow one, and one that the upstream holds back, go on', () => {
+// A phone with poor reception uploads photos slowly, a slow worker applies backpressure
+// to another upload, and an attacker sends one byte a minute to occupy a slot. Only the
+// last request may be aborted.
+test('a body that trickles in is aborted; a slow one, and one paused by the upstream, continue', () => {
   const clock = new ManualClock()
   let stalled = 0
   const progress = new BodyProgress(clock, 1000, 100, () => { stalled++ })
--- a/packages/daemon/test/node/listener/httpListener.test.ts
+++ b/packages/daemon/test/node/listener/httpListener.test.ts
@@ -4,7 +4,7 @@
 import { CloseStack } from '@umberspar/base/common/closing'
 import { DEFAULT_LISTENER_LIMITS, type ListenerLimits } from '@umberspar/adapters/node/settings/listenerSettings'
 import { HttpListener, type HttpListenerOptions } from '../../../src/node/httpListener.js'
-import { exchangeRaw, openSocket, readAnswer } from './rawExchange.js'
+import { exchangeRaw, openSocket, readResponse } from './rawExchange.js'
 
 const HOST = 'Host: a\r\n'
 const POST = `POST /p HTTP/1.1\r\n${HOST}`
@@ -16,13 +16,13 @@
   closing = new CloseStack()
 })
 
-interface Served {
+interface TestListener {
   readonly address: string
   /** `METHOD url body` of every request that reached the handler. */
   readonly requests: string[]
 }
 
-async function startListener (limits: Partial<ListenerLimits> = {}, options: HttpListenerOptions = {}): Promise<Served> {
+async function startListener (limits: Partial<ListenerLimits> = {}, options: HttpListenerOptions = {}): Promise<TestListener> {
   const requests: string[] = []
   const handle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     let body = ''
@@ -36,8 +36,8 @@
   return { address: address.val, requests }
 }
 
-/** Framing that two programs may read in two ways; each is followed by a request that must never be seen. */
-const AMBIGUOUS: Readonly<Record<string, string>> = {
+/** Framing that two programs may interpret differently. Each is followed by a request that must never be handled. */
+const AMBIGUOUS_REQUESTS: Readonly<Record<string, string>> = {
   'Content-Length before Transfer-Encoding': `${POST}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n`,
   'Transfer-Encoding before Content-Length': `${POST}Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n`,
   'Content-Length twice, different': `${POST}Content-Length: 1\r\nContent-Length: 2\r\n\r\nab`,
@@ -82,11 +82,11 @@
   'target of another scheme': `GET ftp://a/p HTTP/1.1\r\n${HOST}\r\n`
 }
 
-// A proxy in front takes the first of two lengths, this daemon the second: what
-// the one reads as a body the other reads as a request, and a stranger's request
-// is answered to the next caller on that connection.
-describe('a request that could be read in two ways is refused with 400 and its connection closed', () => {
-  for (const [name, bytes] of Object.entries(AMBIGUOUS)) {
+// Request smuggling: a proxy in front uses the first of two lengths, this daemon the
+// second. What one parses as a body, the other parses as a request, and the next
+// caller on that connection receives the response to an attacker's request.
+describe('a request that could be interpreted in two ways is refused with 400 and its connection closed', () => {
+  for (const [name, bytes] of Object.entries(AMBIGUOUS_REQUESTS)) {
     test(name, async () => {
       const { address, requests } = await startListener()
       const answer = await exchangeRaw(address, bytes + SMUGGLED)
@@ -98,8 +98,8 @@
   }
 })
 
-/** What is understood and not served, by status. */
-const NOT_SERVED: ReadonlyArray<readonly [number, string]> = [
+/** Well-formed requests that are not supported, with their response status. */
+const UNSUPPORTED_REQUESTS: ReadonlyArray<readonly [number, string]> = [
   [501, `${POST}Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n`],
   [501, `GET /p HTTP/1.1\r\n${HOST}Connection: Upgrade\r\nUpgrade: websocket\r\n\r\n`],
   [405, `CONNECT b:1 HTTP/1.1\r\n${HOST}\r\n`],
@@ -111,16 +111,16 @@
   [431, `GET /p HTTP/1.1\r\n${HOST}${'X: y\r\n'.repeat(30)}\r\n`]
 ]
 
-test('tunnels, upgrades, TRACE, other versions and too large headers are refused and the connection closed', async () => {
+test('tunnels, upgrades, TRACE, other HTTP versions and too large headers are refused and the connection closed', async () => {
   const { address, requests } = await startListener({ maxHeaderBytes: 8192, maxHeaderFields: 30, maxTargetBytes: 2048 })
-  for (const [status, bytes] of NOT_SERVED) {
+  for (const [status, bytes] of UNSUPPORTED_REQUESTS) {
     const answer = await exchangeRaw(address, bytes + SMUGGLED)
     assert.deepEqual({ statuses: answer.statuses, isClosed: answer.isClosed }, { statuses: [status], isClosed: true }, bytes.slice(0, 80))
   }
   assert.deepEqual(requests, [])
 })
 
-test('what is unusual and clear is served: absolute form, an offer of h2c, a body with GET, pipelining, odd queries', async () => {
+test('unusual but unambiguous requests are handled: absolute form, an h2c upgrade, a body with GET, pipelining, odd queries', async () => {
   const { address, requests } = await startListener()
   const bytes = [
     `GET http://a/p?x=%zz&y=a\\b%0A HTTP/1.1\r\n${HOST}\r\n`,
@@ -134,19 +134,19 @@
   assert.deepEqual(new Set(requests), new Set(['GET /p?x=%zz&y=a\\b%0A ', 'GET / ', 'GET /d abc', 'POST /e abc', 'GET //b//../c ']))
 })
 
-// Somebody opens connections and sends one header byte now and then, or nothing,
-// until no honest caller gets a connection.
-test('a header that does not come whole, and a silent connection, are ended', async () => {
+// Slowloris attack: a client opens connections and sends header bytes very slowly, or
+// nothing at all, until no legitimate caller gets a connection.
+test('connections with an incomplete header, and idle new connections, are closed', async () => {
   const { address } = await startListener({ headersWithinMs: 100 })
-  const silent = await readAnswer(await openSocket(address))
+  const silent = await readResponse(await openSocket(address))
   const half = await exchangeRaw(address, 'GET /p HTTP/1.1\r\nHost:')
   assert.deepEqual([silent.isClosed, half.isClosed], [true, true])
   assert.deepEqual(half.statuses, [408])
 })
 
-// Somebody announces a photo, sends two bytes of it and waits: the request would
-// hold a worker's slot until its deadline.
-test('a body that stands still ends its connection, one that comes on is served', async () => {
+// A client announces a large body, sends two bytes of it and stalls: the request would
+// occupy a worker's slot until its deadline.
+test('a connection whose body stalls is closed, a request whose body arrives is handled', async () => {
   const { address, requests } = await startListener({ bodyProgressWithinMs: 100, minBodyBytes: 10 })
   const stalled = await exchangeRaw(address, `${POST}Content-Length: 1000\r\n\r\nab`)
   assert.deepEqual([stalled.isClosed, requests], [true, []])
@@ -154,8 +154,8 @@
   assert.deepEqual([whole.statuses, requests], [[200], ['POST /p ab']])
 })
 
-// One client address opens connections without end; another must still get one.
-test('connections are bounded per client address and in total, forwarders per address not', async () => {
+// One client address opens connections without limit; another must still get one.
+test('connections are limited per client address and in total, but not per address for forwarders', async () => {
   const isForwarder = (address: string): boolean => address === '127.0.0.9'
   const { address } = await startListener({ maxConnectionsPerAddress: 2, maxConnections: 6 }, { isForwarder })
   const request = `GET /p HTTP/1.1\r\n${HOST}\r\n`
@@ -178,8 +178,8 @@
   assert.equal(await canConnect('127.0.0.4', true), false)
 })
 
-// An upstream sends a header that makes a handler throw, in a route that awaits
-// nothing: the process would end, and with it every other caller's request.
+// An upstream sends a header that makes a handler throw, in a route whose promise
+// isn't awaited: the process would exit and abort every other caller's request.
 test('a handler that throws or rejects breaks its own connection only', async () => {
   const handle = (request: IncomingMessage, response: ServerResponse): unknown => {
     if (request.url === '/throw') throw new Error('planted')
--- a/packages/daemon/test/node/listener/rawExchange.ts
+++ b/packages/daemon/test/node/listener/rawExchange.ts
@@ -1,12 +1,12 @@
-/** Speaks to a listener byte by byte, as no HTTP client would. */
+/** Exchanges raw bytes with a listener, including ones that no HTTP client would send. */
 import { connect, type Socket } from 'node:net'
 
-/** What came back on a connection. */
-export interface RawAnswer {
+/** What was received on a connection. */
+export interface RawResponse {
   /** Status codes in order. */
   readonly statuses: readonly number[]
   readonly text: string
-  /** Whether the other side closed. */
+  /** Whether the other side closed the connection. */
   readonly isClosed: boolean
 }
 
@@ -15,7 +15,7 @@
 /**
  * Opens a connection.
  * @param address `host:port`
- * @param localAddress the address to come from
+ * @param localAddress the local address to connect from
  * @returns the socket, once connected
  */
 export function openSocket (address: string, localAddress?: string): Promise<Socket> {
@@ -27,12 +27,12 @@
 }
 
 /**
- * Reads until the other side closes, or until text comes that ends the wait.
- * @param socket an open one, destroyed at the end
- * @param isEnough whether what came so far is all that is waited for
- * @returns what came
+ * Reads until the other side closes the connection or enough text was received.
+ * @param socket an open socket, destroyed at the end
+ * @param isEnough whether the text received so far is enough
+ * @returns what was received
  */
-export function readAnswer (socket: Socket, isEnough: (text: string) => boolean = () => false): Promise<RawAnswer> {
+export function readResponse (socket: Socket, isEnough: (text: string) => boolean = () => false): Promise<RawResponse> {
   return new Promise((resolve) => {
     let text = ''
     const finish = (isClosed: boolean): void => {
@@ -50,13 +50,13 @@
 
 /**
  * @param address `host:port`
- * @param bytes what to send, one byte per character
- * @param isEnough whether what came so far is all that is waited for
- * @returns what came back
+ * @param bytes the bytes to send, one per character
+ * @param isEnough whether the text received so far is enough
+ * @returns what was received
  */
-export async function exchangeRaw (address: string, bytes: string, isEnough?: (text: string) => boolean): Promise<RawAnswer> {
+export async function exchangeRaw (address: string, bytes: string, isEnough?: (text: string) => boolean): Promise<RawResponse> {
   const socket = await openSocket(address)
-  const answer = readAnswer(socket, isEnough)
+  const response = readResponse(socket, isEnough)
   socket.write(Buffer.from(bytes, 'latin1'))
-  return await answer
+  return await response
 }
--- a/packages/daemon/test/node/stop/stop.test.ts
+++ b/packages/daemon/test/node/stop/stop.test.ts
@@ -1,4 +1,4 @@
-/** The order of a stop, its deadlines, and what ends it early. */
+/** Tests the order of a shutdown, its deadlines, and how it can be forced. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { Instant } from '@umberspar/base/common/clock'
@@ -8,14 +8,14 @@
 import { ManualClock } from '@umberspar/base/common/manualClock'
 import { StopSequence, StopStepEnd } from '../../../src/node/stop/stopSequence.js'
 
-const CACHE_MS = 2000
-const MICROTASK_TURNS = 20
+const LOOKUP_CACHE_MS = 2000
+const MICROTASKS_PER_TIMER = 20
 
-/** A clock that jumps from timer to timer once all else has settled. */
-class JumpingClock extends ManualClock {
+/** A clock that advances to the next timer once all pending microtasks have run. */
+class AutoAdvancingClock extends ManualClock {
   async runWhile (isRunning: () => boolean, until: Instant): Promise<void> {
     for (;;) {
-      for (let turn = 0; turn < MICROTASK_TURNS; turn++) await Promise.resolve()
+      for (let turn = 0; turn < MICROTASKS_PER_TIMER; turn++) await Promise.resolve()
       const next = this.getNextTimer()
       if (!isRunning() || next === undefined || next > until) return
       this.stepTo(next)
@@ -23,7 +23,7 @@
   }
 }
 
-class Recorder implements ILogger {
+class RecordingLogger implements ILogger {
   readonly lines: string[] = []
 
   log (_level: LogLevel, { step, end }: LogContext): void {
@@ -35,73 +35,73 @@
   }
 }
 
-interface Scene {
-  readonly clock: JumpingClock
-  readonly logger: Recorder
+interface TestSetup {
+  readonly clock: AutoAdvancingClock
+  readonly logger: RecordingLogger
   readonly stop: DaemonStop
   readonly steps: string[]
   open: number
-  peersHear: boolean
+  arePeersReachable: boolean
 }
 
-function buildScene (): Scene {
-  const clock = new JumpingClock()
-  const logger = new Recorder()
+function createSetup (): TestSetup {
+  const clock = new AutoAdvancingClock()
+  const logger = new RecordingLogger()
   const steps: string[] = []
   const addStep = (name: string): void => { if (steps.at(-1) !== name) steps.push(name) }
   const target: StopTarget = {
     startLeaving: () => addStep('leaving'),
     publishState: async () => {
       addStep('told')
-      return scene.peersHear
+      return scene.arePeersReachable
     },
-    getSpreadSpanMs: () => 0,
+    getPropagationTimeMs: () => 0,
     stopListening: () => addStep(`closed at ${clock.now()}`),
     countOpenRequests: () => scene.open,
     countConnections: async () => scene.open
   }
   const lifetime = new LookupLifetime()
-  lifetime.update(CACHE_MS, 0)
-  const scene: Scene = { clock, logger, steps, open: 1, peersHear: true, stop: new DaemonStop(target, lifetime, clock, logger) }
+  lifetime.update(LOOKUP_CACHE_MS, 0)
+  const scene: TestSetup = { clock, logger, steps, open: 1, arePeersReachable: true, stop: new DaemonStop(target, lifetime, clock, logger) }
   scene.stop.addHandOver({ name: 'lend-parts', getDeadline: () => clock.now() + 100, run: async () => addStep('lent') })
   return scene
 }
 
-const ALL = [StopStepName.Announce, 'lend-parts', StopStepName.ServeCachedLookups, StopStepName.StopListening, StopStepName.FinishOpenRequests, StopStepName.CloseConnections]
+const ALL_STEPS = [StopStepName.Announce, 'lend-parts', StopStepName.ServeCachedLookups, StopStepName.StopListening, StopStepName.FinishOpenRequests, StopStepName.CloseConnections]
 
 describe('DaemonStop', () => {
-  it('leaves look-ups, hands over, serves cached ones out, finishes what is open, then closes', async () => {
-    const scene = buildScene()
+  it('leaves look-ups, hands over, serves until cached look-ups expire, finishes open requests, then closes', async () => {
+    const scene = createSetup()
     const stopped = scene.stop.run()
     let isDone = false
     stopped.then(() => { isDone = true }, () => {})
     await scene.clock.runWhile(() => !isDone, 60_000)
-    assert.equal(isDone, false, 'closed over an open request')
+    assert.equal(isDone, false, 'closed despite an open request')
     assert.deepEqual(scene.steps.slice(0, 3), ['leaving', 'told', 'lent'])
-    assert.ok(Number(scene.steps[3]?.split(' ')[2]) >= CACHE_MS)
+    assert.ok(Number(scene.steps[3]?.split(' ')[2]) >= LOOKUP_CACHE_MS)
     scene.open = 0
     await scene.clock.runWhile(() => !isDone, 120_000)
     assert.deepEqual(await stopped, { cutRequests: 0 })
-    assert.deepEqual(scene.logger.lines, ALL.map((name) => `${name} done`))
+    assert.deepEqual(scene.logger.lines, ALL_STEPS.map((name) => `${name} done`))
   })
 
-  // An operator is in haste and sends a second SIGTERM while uploads still run. The
-  // daemon must end, and must say that it cut something off.
-  it('ends at once when forced, and tells what it cut', async () => {
-    const scene = buildScene()
-    scene.peersHear = false
+  // An operator sends a second SIGTERM while uploads are still running. The daemon must
+  // stop, and must report that it aborted requests.
+  it('ends at once when forced, and reports the aborted requests', async () => {
+    const scene = createSetup()
+    scene.arePeersReachable = false
     const stopped = scene.stop.run()
     await scene.clock.runWhile(() => true, 1000)
     scene.stop.stopWaiting()
     assert.deepEqual(await stopped, { cutRequests: 1 })
-    assert.deepEqual(scene.logger.lines, ALL.map((name) => `${name} forced`))
+    assert.deepEqual(scene.logger.lines, ALL_STEPS.map((name) => `${name} forced`))
   })
 
-  // A peer's VM has died: it can't be told. It names nobody to callers either, so
-  // the stop must not wait for it for ever.
-  it('goes on without peers that cannot be told', async () => {
-    const scene = buildScene()
-    scene.peersHear = false
+  // A peer's VM has crashed and can't be told. It doesn't answer look-ups either, so
+  // the shutdown must not wait for it forever.
+  it('continues without peers that cannot be told', async () => {
+    const scene = createSetup()
+    scene.arePeersReachable = false
     scene.open = 0
     let isDone = false
     const stopped = scene.stop.run().finally(() => { isDone = true })
@@ -113,9 +113,9 @@
 })
 
 describe('StopSequence', () => {
-  // A hand-over step fails, another hangs. Neither may keep the VM from being replaced.
-  it('goes on after a step that fails or hangs', async () => {
-    const clock = new JumpingClock()
+  // One hand-over step fails, another hangs. Neither may prevent the VM from being replaced.
+  it('continues after a step that fails or hangs', async () => {
+    const clock = new AutoAdvancingClock()
     const step = (name: string, run: () => Promise<void>): Parameters<StopSequence['run']>[0][number] => ({ name, getDeadline: () => clock.now() + 50, run })
     const running = new StopSequence(clock, NULL_LOGGER).run([
       step('fails', () => Promise.reject(new Error('no'))),
@@ -129,13 +129,13 @@
 
 describe('LookupLifetime', () => {
   // Operators shorten the look-ups' lifetime from a minute to a second, then stop an
-  // entry VM. Callers still hold answers given before: closed after a second, the
-  // entry VM would cut them off.
-  it('remembers answers that were given under a longer lifetime', () => {
+  // entry VM. Callers still have look-ups cached from before. If the entry VM closed
+  // after a second, their requests would fail.
+  it('accounts for look-ups that were returned under a longer lifetime', () => {
     const lifetime = new LookupLifetime()
     lifetime.update(60_000, 0)
     lifetime.update(1000, 10_000)
-    assert.equal(lifetime.getEnd(20_000), 70_000)
-    assert.equal(lifetime.getEnd(80_000), 81_000)
+    assert.equal(lifetime.getExpiry(20_000), 70_000)
+    assert.equal(lifetime.getExpiry(80_000), 81_000)
   })
 })
