--- a/packages/daemon/src/node/callers/requestHandler.ts
+++ b/packages/daemon/src/node/callers/requestHandler.ts
@@ -86,9 +86,9 @@
   async handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const startedAt = this.dependencies.clock.now()
     const requestId = getHeader(request, 'umberspar-request-id') ?? randomUUID()
-    const disconnected = new AbortController()
-    response.once('close', () => { if (!response.writableFinished) disconnected.abort() })
-    const context = this.createContext(request, requestId, disconnected.signal)
+    const callerAbort = new AbortController()
+    response.once('close', () => { if (!response.writableFinished) callerAbort.abort() })
+    const context = this.createContext(request, requestId, callerAbort.signal)
     if (context instanceof StepError) {
       const isNotReady = context.code === ErrorCode.Unavailable
       sendProblem(response, context, UNSENT_OUTCOME, requestId, isNotReady ? NOT_READY_PROBLEM : {})
--- a/packages/daemon/src/node/callers/sendProblem.ts
+++ b/packages/daemon/src/node/callers/sendProblem.ts
@@ -26,7 +26,7 @@
 
 /** Optional details of a problem response. */
 export interface ProblemExtras {
-  /** Instead of the kind that the error's code stands for. */
+  /** Overrides the kind that is derived from the error's code. */
   readonly kind?: ProblemKind
   /** When the caller may retry. */
   readonly retryAfterSeconds?: number
--- a/packages/daemon/src/node/configuration/configurationKeeper.ts
+++ b/packages/daemon/src/node/configuration/configurationKeeper.ts
@@ -54,8 +54,8 @@
   private readonly didAdopt = new Emitter<VersionedConfiguration>()
   private inForce: VersionedConfiguration | undefined
   private inForceText = ''
-  private seenVersion = 0
-  private aheadSeenAt: Instant | undefined
+  private reportedVersion = 0
+  private peerAheadAt: Instant | undefined
   private storeConfirmedAt: Instant | undefined
   private readonly didLearn = new Emitter<LearnedConfiguration>()
 
@@ -81,12 +81,12 @@
 
   /** @returns the highest version that the store or any peer has reported, whether or not it is in force here */
   get highestSeen (): number {
-    return Math.max(this.seenVersion, this.version)
+    return Math.max(this.reportedVersion, this.version)
   }
 
   /** @returns when a peer last reported a newer version than this node had at that time */
   get lastAheadSeenAt (): Instant | undefined {
-    return this.aheadSeenAt
+    return this.peerAheadAt
   }
 
   /** @returns when any node last read the store and found no newer version than the one in force here */
@@ -101,8 +101,8 @@
    * @param now the current time
    */
   observePeer (version: number, confirmedAt: Instant | undefined, now: Instant): void {
-    if (version > this.version) this.aheadSeenAt = now
-    this.seenVersion = Math.max(this.seenVersion, version)
+    if (version > this.version) this.peerAheadAt = now
+    this.reportedVersion = Math.max(this.reportedVersion, version)
     if (confirmedAt !== undefined && version <= this.version) this.recordConfirmed(version, confirmedAt)
   }
 
@@ -112,7 +112,7 @@
    * @param at when the store was read
    */
   recordConfirmed (version: number, at: Instant): void {
-    this.seenVersion = Math.max(this.seenVersion, version)
+    this.reportedVersion = Math.max(this.reportedVersion, version)
     if (version <= this.version && at > (this.storeConfirmedAt ?? -Infinity)) this.storeConfirmedAt = at
   }
 
@@ -133,9 +133,9 @@
     if (!shouldAdopt(this.version, offer.head.version)) return AdoptResult.NotNewer
     // A truncated body, or one assembled from chunks of two writers, would be a
     // configuration that nobody accepted. Its digest differs from the head's.
-    if (this.digester.computeDigest(offer.text) !== offer.head.digest) return this.refuseDamaged(offer, peer, 'the digest does not match')
+    if (this.digester.computeDigest(offer.text) !== offer.head.digest) return this.refuseInvalid(offer, peer, 'the digest does not match')
     const body = validateConfiguration(JSON.parse(offer.text))
-    if (!body.ok) return this.refuseDamaged(offer, peer, body.val.map((problem) => `${problem.path}: ${problem.message}`).join('; '))
+    if (!body.ok) return this.refuseInvalid(offer, peer, body.val.map((problem) => `${problem.path}: ${problem.message}`).join('; '))
     this.inForce = { head: offer.head, body: body.val }
     this.inForceText = offer.text
     this.logger.log(LogLevel.Info, { step: 'adopt-configuration', peer, version: offer.head.version, source: origin.source }, 'configuration put in force')
@@ -161,7 +161,7 @@
     this.logger.log(LogLevel.Error, { step: 'adopt-configuration', peer, version: head.version, changeId: head.changeId }, 'two different changes have the same version; submit a patch to replace both')
   }
 
-  private refuseDamaged (offer: ConfigurationText, peer: string, reason: string): AdoptResult {
+  private refuseInvalid (offer: ConfigurationText, peer: string, reason: string): AdoptResult {
     this.logger.log(LogLevel.Error, { step: 'adopt-configuration', peer, version: offer.head.version }, `configuration refused: ${reason}`)
     return AdoptResult.Damaged
   }
--- a/packages/daemon/src/node/configuration/configurationStore.ts
+++ b/packages/daemon/src/node/configuration/configurationStore.ts
@@ -115,7 +115,7 @@
   async findChange (changeId: string, deadline: Deadline): Promise<Result<ConfigurationHead | undefined, StepError>> {
     const history = await this.listHistory(deadline)
     if (!history.ok) return history
-    const entry = history.val.find((one) => one.changeId === changeId)
+    const entry = history.val.find((candidate) => candidate.changeId === changeId)
     if (entry === undefined) return new Ok(undefined)
     return new Ok({ version: entry.version, changeId: entry.changeId, digest: entry.digest })
   }
--- a/packages/daemon/src/node/configuration/patchService.ts
+++ b/packages/daemon/src/node/configuration/patchService.ts
@@ -206,7 +206,7 @@
   private async readBase (version: number, deadline: Deadline): Promise<SteeringConfiguration | undefined> {
     const history = await this.configurations.listHistory(deadline)
     if (!history.ok) return undefined
-    const entry = history.val.find((one) => one.version === version)
+    const entry = history.val.find((candidate) => candidate.version === version)
     if (entry === undefined) return undefined
     const body = await this.readVersion(entry, deadline)
     return body.ok ? body.val.body : undefined
--- a/packages/daemon/src/node/daemon.ts
+++ b/packages/daemon/src/node/daemon.ts
@@ -52,7 +52,7 @@
   private parts: DaemonParts | undefined
   private tls: DaemonTls | undefined
   private callers: HttpListener | undefined
-  private listening: DaemonAddresses | undefined
+  private listenAddresses: DaemonAddresses | undefined
   private readonly lifetime = new LookupLifetime()
   private stopController: DaemonStop | undefined
   private stopping: Promise<StopReport> | undefined
@@ -72,7 +72,7 @@
 
   /** @returns the addresses on which it listens, once started */
   get addresses (): DaemonAddresses | undefined {
-    return this.listening
+    return this.listenAddresses
   }
 
   /** @returns whether it has everything it needs to serve callers */
@@ -181,10 +181,10 @@
   private applyOwnVmState (parts: DaemonParts): void {
     const { peerService, members } = parts
     if (peerService.state === NodeState.Joining && this.canGoLive(parts)) peerService.state = NodeState.Live
-    const listed = members.list().find((member) => member.vm.vmId === this.settings.nodeId)?.vm.state
-    if (this.isStopping || listed === undefined) return
-    if (listed === VmState.Live && peerService.state === NodeState.Leaving) peerService.state = NodeState.Live
-    else if (listed === VmState.Leaving && peerService.state === NodeState.Live) runDetached(() => this.stopController!.leave(), this.logger, 'leave')
+    const listedState = members.list().find((member) => member.vm.vmId === this.settings.nodeId)?.vm.state
+    if (this.isStopping || listedState === undefined) return
+    if (listedState === VmState.Live && peerService.state === NodeState.Leaving) peerService.state = NodeState.Live
+    else if (listedState === VmState.Leaving && peerService.state === NodeState.Live) runDetached(() => this.stopController!.leave(), this.logger, 'leave')
   }
 
   private createMetrics (): IMetrics {
@@ -207,8 +207,8 @@
     if (!operatorAddress.ok) return operatorAddress
     const callerAddress = await callers.listen(this.settings.callers.address)
     if (!callerAddress.ok) return callerAddress
-    this.listening = { callers: callerAddress.val, peers: `${splitAddress(this.settings.peers.address).host}:${peerAddress.val}`, operators: operatorAddress.val }
-    this.logger.log(LogLevel.Info, { step: 'listen', ...this.listening }, 'listening')
+    this.listenAddresses = { callers: callerAddress.val, peers: `${splitAddress(this.settings.peers.address).host}:${peerAddress.val}`, operators: operatorAddress.val }
+    this.logger.log(LogLevel.Info, { step: 'listen', ...this.listenAddresses }, 'listening')
     return new Ok(undefined)
   }
 
@@ -252,9 +252,9 @@
     }))
   }
 
-  private getNodeState (parts: DaemonParts, vmId: string, canServe: boolean, listed: VmState): NodeState {
+  private getNodeState (parts: DaemonParts, vmId: string, canServe: boolean, listedState: VmState): NodeState {
     const isSelfLeaving = vmId === this.settings.nodeId && parts.peerService.state === NodeState.Leaving
-    if (isSelfLeaving || listed === VmState.Leaving) return NodeState.Leaving
+    if (isSelfLeaving || listedState === VmState.Leaving) return NodeState.Leaving
     return canServe ? NodeState.Live : NodeState.Joining
   }
 }
--- a/packages/daemon/src/node/listener/bodyProgress.ts
+++ b/packages/daemon/src/node/listener/bodyProgress.ts
@@ -24,7 +24,7 @@
   private timer: ITimer | undefined
 
   /**
-   * @param clock the source of time
+   * @param clock the time source
    * @param intervalMs the interval in which progress is expected
    * @param minBytes the minimum progress in one interval
    * @param onStall called for each request aborted because its body stalled
--- a/packages/daemon/src/node/operators/drainStatus.ts
+++ b/packages/daemon/src/node/operators/drainStatus.ts
@@ -30,24 +30,24 @@
 /**
  * @param configuration the configuration in force
  * @param places this node's places
- * @param plans this node's weights
+ * @param plans the weights that this node's plans assign
  * @returns the progress of every configured drain
  */
 export function listDrains (configuration: SteeringConfiguration, places: PlaceDirectory, plans: PlanKeeper): DrainStatus[] {
-  const { failureDomains, regions, places: single } = configuration.drains
-  const create = (kind: DrainKind, target: string, isPart: PlacePredicate): DrainStatus => buildStatus(kind, target, isPart, places, plans)
+  const { failureDomains, regions, places: placeDrains } = configuration.drains
+  const buildFor = (kind: DrainKind, target: string, isIncluded: PlacePredicate): DrainStatus => buildStatus(kind, target, isIncluded, places, plans)
   return [
-    ...failureDomains.map((name) => create(DrainKind.FailureDomain, name, (_, domain) => domain === name)),
-    ...regions.map((name) => create(DrainKind.Region, name, (_, domain) => findRegion(configuration, domain) === name)),
-    ...single.map((one) => create(DrainKind.Place, `${one.service}/${one.failureDomain}`,
-      (service, domain) => service === one.service && domain === one.failureDomain))
+    ...failureDomains.map((name) => buildFor(DrainKind.FailureDomain, name, (_, domain) => domain === name)),
+    ...regions.map((name) => buildFor(DrainKind.Region, name, (_, domain) => findRegion(configuration, domain) === name)),
+    ...placeDrains.map((drain) => buildFor(DrainKind.Place, `${drain.service}/${drain.failureDomain}`,
+      (service, domain) => service === drain.service && domain === drain.failureDomain))
   ]
 }
 
-function buildStatus (kind: DrainKind, target: string, isPart: PlacePredicate, places: PlaceDirectory, plans: PlanKeeper): DrainStatus {
-  const parts = places.list().filter((pool) => isPart(pool.key.service, pool.key.failureDomain))
-  const weights = parts.map((pool) => plans.computeWeight(pool.key.service, pool.key.failureDomain))
+function buildStatus (kind: DrainKind, target: string, isIncluded: PlacePredicate, places: PlaceDirectory, plans: PlanKeeper): DrainStatus {
+  const pools = places.list().filter((pool) => isIncluded(pool.key.service, pool.key.failureDomain))
+  const weights = pools.map((pool) => plans.computeWeight(pool.key.service, pool.key.failureDomain))
   const weight = Math.max(0, ...weights)
-  const inFlight = parts.reduce((sum, pool) => sum + pool.inFlight + pool.waiting, 0)
+  const inFlight = pools.reduce((sum, pool) => sum + pool.inFlight + pool.waiting, 0)
   return { kind, target, weight, inFlight, isSafeToStop: weight === 0 && inFlight === 0 }
 }
--- a/packages/daemon/src/node/operators/operatorServer.ts
+++ b/packages/daemon/src/node/operators/operatorServer.ts
@@ -140,15 +140,15 @@
 }
 
 async function readJson<T> (request: IncomingMessage, schema: z.ZodType<T>): Promise<T | StepError> {
-  const parts: Buffer[] = []
+  const chunks: Buffer[] = []
   let length = 0
-  for await (const part of request) {
-    length += (part as Buffer).length
+  for await (const chunk of request) {
+    length += (chunk as Buffer).length
     if (length > MAX_BODY_BYTES) return createError(ErrorCode.Invalid, 'the request body is too large')
-    parts.push(part as Buffer)
+    chunks.push(chunk as Buffer)
   }
   try {
-    const parsed = schema.safeParse(JSON.parse(Buffer.concat(parts).toString('utf8')))
+    const parsed = schema.safeParse(JSON.parse(Buffer.concat(chunks).toString('utf8')))
     if (parsed.success) return parsed.data
     const problems = parsed.error.issues.map((issue) => `${issue.path.join('.') || '(body)'}: ${issue.message}`)
     return createError(ErrorCode.Invalid, problems.join('; '))
--- a/packages/daemon/src/node/operators/operatorViews.ts
+++ b/packages/daemon/src/node/operators/operatorViews.ts
@@ -91,7 +91,7 @@
 async function readVersion (parts: DaemonParts, version: number, deadline: number): Promise<object | StepError> {
   const history = await parts.configurations.listHistory(deadline)
   if (!history.ok) return history.val
-  const entry = history.val.find((one) => one.version === version)
+  const entry = history.val.find((candidate) => candidate.version === version)
   if (entry === undefined) return new StepError({ code: ErrorCode.NotFound, step: 'read-version', peer: 'store', message: `version ${version} is not in the history` })
   const read = await parts.patches.readVersion(entry, deadline)
   return read.val
--- a/packages/daemon/src/node/request/requestBody.ts
+++ b/packages/daemon/src/node/request/requestBody.ts
@@ -45,7 +45,7 @@
       request.off('data', addChunk)
       resolve(result)
     }
-    const addChunk = (part: Buffer): void => { chunks.push(part) }
+    const addChunk = (chunk: Buffer): void => { chunks.push(chunk) }
     const timer = clock.schedule(deadline, () => { settle(new Err(createBodyError(request, ErrorCode.DeadlinePassed, 'the request body did not arrive in time'))) })
     request.on('data', addChunk)
     request.once('error', () => { settle(new Err(createBodyError(request, ErrorCode.Cancelled, 'the caller aborted the request'))) })
--- a/packages/daemon/test/node/configuration/patchService.test.ts
+++ b/packages/daemon/test/node/configuration/patchService.test.ts
@@ -85,17 +85,17 @@
 
 /** Sends one request to each of two daemons, with store calls in an order chosen by the scheduler. */
 async function runRace (scheduler: fc.Scheduler, faults: readonly WriteFault[], requests: readonly [PatchRequest, PatchRequest]): Promise<RaceResult> {
-  let isFree = true
-  const waitTurn: WaitForTurn = async (label) => { if (!isFree) await scheduler.schedule(Promise.resolve(), label) }
+  let isUnscheduled = true
+  const waitTurn: WaitForTurn = async (label) => { if (!isUnscheduled) await scheduler.schedule(Promise.resolve(), label) }
   const store = new MemoryStore(waitTurn)
   await writeInitial(store)
   await waitForCleanup()
-  isFree = false
+  isUnscheduled = false
   store.faults.push(...faults)
   const running = Promise.all(requests.map((request) => createTestDaemon(store, waitTurn).patches.patch(request)))
   const outcomes = await scheduler.waitFor(running)
   await scheduler.waitFor(Promise.all(store.lateWrites))
-  isFree = true
+  isUnscheduled = true
   return { store, outcomes }
 }
 
@@ -165,16 +165,16 @@
     // must not be applied afterwards.
     const busy = fc.constantFrom([WriteFault.OverRate], [WriteFault.None, WriteFault.OverRate], [WriteFault.OverRate, WriteFault.None, WriteFault.OverRate])
     await fc.assert(fc.asyncProperty(fc.scheduler(), busy, async (scheduler, faults) => {
-      let isFree = true
-      const waitTurn: WaitForTurn = async (label) => { if (!isFree) await scheduler.schedule(Promise.resolve(), label) }
+      let isUnscheduled = true
+      const waitTurn: WaitForTurn = async (label) => { if (!isUnscheduled) await scheduler.schedule(Promise.resolve(), label) }
       const store = new MemoryStore(waitTurn)
       await writeInitial(store)
       await waitForCleanup()
-      isFree = false
+      isUnscheduled = false
       store.faults.push(WriteFault.None, WriteFault.Late, ...faults)
       const outcome = await scheduler.waitFor(createTestDaemon(store, waitTurn).patches.patch(createRequest('a', 1000)))
       await scheduler.waitFor(Promise.all(store.lateWrites))
-      isFree = true
+      isUnscheduled = true
       assert.equal((await checkStore(store)).includes('a'), outcome.ok)
     }), { seed: SEED, numRuns: 100 })
   })
