--- a/packages/daemon/src/node/configuration/configurationWatcher.ts
+++ b/packages/daemon/src/node/configuration/configurationWatcher.ts
@@ -104,7 +104,7 @@
 
   /** @returns the reason why there is no configuration, for operators */
   getFailureReason (): string {
-    if (this.lastFailure !== undefined) return `the store is unavailable (${this.lastFailure.message}) and no peer has one`
+    if (this.lastFailure !== undefined) return `the store does not answer (${this.lastFailure.message}) and no peer has one`
     return this.storeVersion === 0 ? 'neither the store nor any peer has one' : 'waiting for the store and the peers'
   }
 
--- a/packages/daemon/src/node/operators/operatorViews.ts
+++ b/packages/daemon/src/node/operators/operatorViews.ts
@@ -39,7 +39,7 @@
 }
 
 function getReadiness (parts: DaemonParts): { isReady: boolean, reason: string } {
-  if (parts.keeper.current === undefined) return { isReady: false, reason: `no configuration loaded: ${parts.watcher.getFailureReason()}` }
+  if (parts.keeper.current === undefined) return { isReady: false, reason: `no configuration yet: ${parts.watcher.getFailureReason()}` }
   if (!parts.members.isListed) return { isReady: false, reason: 'the VM list has not been read yet' }
   if (parts.peerService.state !== NodeState.Live) return { isReady: false, reason: `this node is ${parts.peerService.state}` }
   return { isReady: true, reason: 'serving' }
