--- a/packages/daemon/test/node/listener/bodyProgress.test.ts
+++ b/packages/daemon/test/node/listener/bodyProgress.test.ts
@@ -25,19 +25,19 @@
   const clock = new ManualClock()
   let stalled = 0
   const progress = new BodyProgress(clock, 1000, 100, () => { stalled++ })
-  const [slow, held, dripping, done] = [new FakeRequest(), new FakeRequest(), new FakeRequest(), new FakeRequest()]
-  for (const request of [slow, held, dripping, done]) progress.watch(request as unknown as IncomingMessage)
-  held.readableLength = held.readableHighWaterMark
+  const [slow, paused, trickling, done] = [new FakeRequest(), new FakeRequest(), new FakeRequest(), new FakeRequest()]
+  for (const request of [slow, paused, trickling, done]) progress.watch(request as unknown as IncomingMessage)
+  paused.readableLength = paused.readableHighWaterMark
   done.emit('end')
   for (let at = 250; at <= 10_000; at += 250) {
     slow.socket.bytesRead += 30
-    dripping.socket.bytesRead += 1
+    trickling.socket.bytesRead += 1
     clock.stepTo(at)
   }
-  assert.deepEqual([slow, held, dripping, done].map((request) => request.isDestroyed), [false, false, true, false])
+  assert.deepEqual([slow, paused, trickling, done].map((request) => request.isDestroyed), [false, false, true, false])
   assert.equal(stalled, 1)
-  held.readableLength = 0
+  paused.readableLength = 0
   clock.stepTo(13_000)
-  assert.equal(held.isDestroyed, true)
+  assert.equal(paused.isDestroyed, true)
   progress.close()
 })
--- a/packages/daemon/test/node/listener/httpListener.test.ts
+++ b/packages/daemon/test/node/listener/httpListener.test.ts
@@ -89,10 +89,10 @@
   for (const [name, bytes] of Object.entries(AMBIGUOUS_REQUESTS)) {
     test(name, async () => {
       const { address, requests } = await startListener()
-      const answer = await exchangeRaw(address, bytes + SMUGGLED)
-      assert.equal(answer.statuses.at(-1), 400, answer.text)
-      assert.equal(answer.statuses.length, 1)
-      assert.equal(answer.isClosed, true)
+      const response = await exchangeRaw(address, bytes + SMUGGLED)
+      assert.equal(response.statuses.at(-1), 400, response.text)
+      assert.equal(response.statuses.length, 1)
+      assert.equal(response.isClosed, true)
       assert.deepEqual(requests, [])
     })
   }
@@ -114,8 +114,8 @@
 test('tunnels, upgrades, TRACE, other HTTP versions and too large headers are refused and the connection closed', async () => {
   const { address, requests } = await startListener({ maxHeaderBytes: 8192, maxHeaderFields: 30, maxTargetBytes: 2048 })
   for (const [status, bytes] of UNSUPPORTED_REQUESTS) {
-    const answer = await exchangeRaw(address, bytes + SMUGGLED)
-    assert.deepEqual({ statuses: answer.statuses, isClosed: answer.isClosed }, { statuses: [status], isClosed: true }, bytes.slice(0, 80))
+    const response = await exchangeRaw(address, bytes + SMUGGLED)
+    assert.deepEqual({ statuses: response.statuses, isClosed: response.isClosed }, { statuses: [status], isClosed: true }, bytes.slice(0, 80))
   }
   assert.deepEqual(requests, [])
 })
@@ -129,8 +129,8 @@
     `POST /e HTTP/1.1\r\n${HOST}Transfer-Encoding: Chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\n\r\n`,
     `GET //b//../c HTTP/1.1\r\n${HOST}Connection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: AAMA\r\n\r\n`
   ]
-  const answer = await exchangeRaw(address, bytes.join(''), (text) => text.split('served').length > bytes.length)
-  assert.deepEqual(answer.statuses, [200, 200, 200, 200, 200])
+  const response = await exchangeRaw(address, bytes.join(''), (text) => text.split('served').length > bytes.length)
+  assert.deepEqual(response.statuses, [200, 200, 200, 200, 200])
   assert.deepEqual(new Set(requests), new Set(['GET /p?x=%zz&y=a\\b%0A ', 'GET / ', 'GET /d abc', 'POST /e abc', 'GET //b//../c ']))
 })
 
@@ -150,8 +150,8 @@
   const { address, requests } = await startListener({ bodyProgressWithinMs: 100, minBodyBytes: 10 })
   const stalled = await exchangeRaw(address, `${POST}Content-Length: 1000\r\n\r\nab`)
   assert.deepEqual([stalled.isClosed, requests], [true, []])
-  const whole = await exchangeRaw(address, `${POST}Content-Length: 2\r\n\r\nab`, (text) => text.endsWith('served'))
-  assert.deepEqual([whole.statuses, requests], [[200], ['POST /p ab']])
+  const complete = await exchangeRaw(address, `${POST}Content-Length: 2\r\n\r\nab`, (text) => text.endsWith('served'))
+  assert.deepEqual([complete.statuses, requests], [[200], ['POST /p ab']])
 })
 
 // One client address opens connections without limit; another must still get one.
--- a/packages/daemon/test/node/stop/stop.test.ts
+++ b/packages/daemon/test/node/stop/stop.test.ts
@@ -53,62 +53,62 @@
     startLeaving: () => addStep('leaving'),
     publishState: async () => {
       addStep('told')
-      return scene.arePeersReachable
+      return setup.arePeersReachable
     },
     getPropagationTimeMs: () => 0,
     stopListening: () => addStep(`closed at ${clock.now()}`),
-    countOpenRequests: () => scene.open,
-    countConnections: async () => scene.open
+    countOpenRequests: () => setup.open,
+    countConnections: async () => setup.open
   }
   const lifetime = new LookupLifetime()
   lifetime.update(LOOKUP_CACHE_MS, 0)
-  const scene: TestSetup = { clock, logger, steps, open: 1, arePeersReachable: true, stop: new DaemonStop(target, lifetime, clock, logger) }
-  scene.stop.addHandOver({ name: 'lend-parts', getDeadline: () => clock.now() + 100, run: async () => addStep('lent') })
-  return scene
+  const setup: TestSetup = { clock, logger, steps, open: 1, arePeersReachable: true, stop: new DaemonStop(target, lifetime, clock, logger) }
+  setup.stop.addHandOver({ name: 'lend-parts', getDeadline: () => clock.now() + 100, run: async () => addStep('lent') })
+  return setup
 }
 
 const ALL_STEPS = [StopStepName.Announce, 'lend-parts', StopStepName.ServeCachedLookups, StopStepName.StopListening, StopStepName.FinishOpenRequests, StopStepName.CloseConnections]
 
 describe('DaemonStop', () => {
   it('leaves look-ups, hands over, serves until cached look-ups expire, finishes open requests, then closes', async () => {
-    const scene = createSetup()
-    const stopped = scene.stop.run()
+    const setup = createSetup()
+    const stopped = setup.stop.run()
     let isDone = false
     stopped.then(() => { isDone = true }, () => {})
-    await scene.clock.runWhile(() => !isDone, 60_000)
+    await setup.clock.runWhile(() => !isDone, 60_000)
     assert.equal(isDone, false, 'closed despite an open request')
-    assert.deepEqual(scene.steps.slice(0, 3), ['leaving', 'told', 'lent'])
-    assert.ok(Number(scene.steps[3]?.split(' ')[2]) >= LOOKUP_CACHE_MS)
-    scene.open = 0
-    await scene.clock.runWhile(() => !isDone, 120_000)
+    assert.deepEqual(setup.steps.slice(0, 3), ['leaving', 'told', 'lent'])
+    assert.ok(Number(setup.steps[3]?.split(' ')[2]) >= LOOKUP_CACHE_MS)
+    setup.open = 0
+    await setup.clock.runWhile(() => !isDone, 120_000)
     assert.deepEqual(await stopped, { cutRequests: 0 })
-    assert.deepEqual(scene.logger.lines, ALL_STEPS.map((name) => `${name} done`))
+    assert.deepEqual(setup.logger.lines, ALL_STEPS.map((name) => `${name} done`))
   })
 
   // An operator sends a second SIGTERM while uploads are still running. The daemon must
   // stop, and must report that it aborted requests.
   it('ends at once when forced, and reports the aborted requests', async () => {
-    const scene = createSetup()
-    scene.arePeersReachable = false
-    const stopped = scene.stop.run()
-    await scene.clock.runWhile(() => true, 1000)
-    scene.stop.stopWaiting()
+    const setup = createSetup()
+    setup.arePeersReachable = false
+    const stopped = setup.stop.run()
+    await setup.clock.runWhile(() => true, 1000)
+    setup.stop.stopWaiting()
     assert.deepEqual(await stopped, { cutRequests: 1 })
-    assert.deepEqual(scene.logger.lines, ALL_STEPS.map((name) => `${name} forced`))
+    assert.deepEqual(setup.logger.lines, ALL_STEPS.map((name) => `${name} forced`))
   })
 
   // A peer's VM has crashed and can't be told. It doesn't answer look-ups either, so
   // the shutdown must not wait for it forever.
   it('continues without peers that cannot be told', async () => {
-    const scene = createSetup()
-    scene.arePeersReachable = false
-    scene.open = 0
+    const setup = createSetup()
+    setup.arePeersReachable = false
+    setup.open = 0
     let isDone = false
-    const stopped = scene.stop.run().finally(() => { isDone = true })
-    await scene.clock.runWhile(() => !isDone, 60_000)
+    const stopped = setup.stop.run().finally(() => { isDone = true })
+    await setup.clock.runWhile(() => !isDone, 60_000)
     assert.deepEqual(await stopped, { cutRequests: 0 })
-    assert.equal(scene.logger.lines[0], `${StopStepName.Announce} ${StopStepEnd.DeadlinePassed}`)
-    assert.equal(scene.logger.lines.at(-1), `${StopStepName.CloseConnections} done`)
+    assert.equal(setup.logger.lines[0], `${StopStepName.Announce} ${StopStepEnd.DeadlinePassed}`)
+    assert.equal(setup.logger.lines.at(-1), `${StopStepName.CloseConnections} done`)
   })
 })
 
