--- a/packages/daemon/test/node/listener/bodyProgress.test.ts
+++ b/packages/daemon/test/node/listener/bodyProgress.test.ts
@@ -18,26 +18,26 @@
   }
 }
 
-// A phone in a basement uploads photos at a crawl, a worker takes its time with
-// another upload, and somebody drips one byte a minute to hold a slot. Only the
-// last may be ended.
-test('a body that drips is ended; a slow one, and one that the upstream holds back, go on', () => {
+// A phone with poor reception uploads photos slowly, a slow worker applies backpressure
+// to another upload, and an attacker sends one byte a minute to occupy a slot. Only the
+// last request may be aborted.
+test('a body that trickles in is aborted; a slow one, and one paused by the upstream, continue', () => {
   const clock = new ManualClock()
   let stalled = 0
   const progress = new BodyProgress(clock, 1000, 100, () => { stalled++ })
-  const [slow, held, dripping, done] = [new FakeRequest(), new FakeRequest(), new FakeRequest(), new FakeRequest()]
-  for (const request of [slow, held, dripping, done]) progress.watch(request as unknown as IncomingMessage)
-  held.readableLength = held.readableHighWaterMark
+  const [slow, paused, trickling, done] = [new FakeRequest(), new FakeRequest(), new FakeRequest(), new FakeRequest()]
+  for (const request of [slow, paused, trickling, done]) progress.watch(request as unknown as IncomingMessage)
+  paused.readableLength = paused.readableHighWaterMark
   done.emit('end')
   for (let at = 250; at <= 10_000; at += 250) {
     slow.socket.bytesRead += 30
-    dripping.socket.bytesRead += 1
+    trickling.socket.bytesRead += 1
     clock.stepTo(at)
   }
-  assert.deepEqual([slow, held, dripping, done].map((request) => request.isDestroyed), [false, false, true, false])
+  assert.deepEqual([slow, paused, trickling, done].map((request) => request.isDestroyed), [false, false, true, false])
   assert.equal(stalled, 1)
-  held.readableLength = 0
+  paused.readableLength = 0
   clock.stepTo(13_000)
-  assert.equal(held.isDestroyed, true)
+  assert.equal(paused.isDestroyed, true)
   progress.close()
 })
