--- a/packages/soak/src/common/routing/routingPlan.ts
+++ b/packages/soak/src/common/routing/routingPlan.ts
@@ -52,8 +52,8 @@
 const MIN_ENTRY_RATIO = 0.15
 const MAX_ENTRY_RATIO = 0.5
 /** Most versions last longer than the time limit for changes, so that a VM with a stale version is detected; others follow in quick succession. */
-const LONG_GAP_MS = { least: 3_500, most: 8_000 }
-const SHORT_GAP_MS = { least: 100, most: 1_200 }
+const LONG_GAP_MS = { min: 3_500, max: 8_000 }
+const SHORT_GAP_MS = { min: 100, max: 1_200 }
 const SHORT_GAP_RATIO = 0.3
 /** Ratio of runs with stale reads. */
 const STALE_READ_RATIO = 0.6
@@ -65,8 +65,8 @@
 const STEP_JITTER_RATIO = 0.7
 
 function chooseGap (random: IRandomSource): number {
-  const { least, most } = random.next() < SHORT_GAP_RATIO ? SHORT_GAP_MS : LONG_GAP_MS
-  return least + (most - least) * random.next()
+  const { min, max } = random.next() < SHORT_GAP_RATIO ? SHORT_GAP_MS : LONG_GAP_MS
+  return min + (max - min) * random.next()
 }
 
 /**
--- a/packages/soak/src/node/routing/routingEntries.ts
+++ b/packages/soak/src/node/routing/routingEntries.ts
@@ -13,7 +13,7 @@
 const ENTRY_PRELOAD = new URL('../entryPreload.js', import.meta.url)
 const LINK_PRELOAD = new URL('./linkPreload.js', import.meta.url)
 /** The time limits of the users' first deployments, which have no client accounts. */
-const DEPLOYMENT_BOUNDS = { changeLimits: [2_500, 2_500, 5_000], goneWithin: 3_000, revokeWithin: undefined }
+const DEPLOYMENT_LIMITS = { changeLimits: [2_500, 2_500, 5_000], goneWithin: 3_000, revokeWithin: undefined }
 
 /** The files and folders of the entry processes. */
 export interface RoutingFiles {
@@ -119,7 +119,7 @@
       relays[peer.addresses.questions] = await link.start()
     }
     const seeds = reservedEntries.slice(0, 3).map(({ addresses: { questions } }) => questions)
-    const settings: EntrySettings = { ...this.records.createSettings(node, domain, addresses, seeds), ...DEPLOYMENT_BOUNDS }
+    const settings: EntrySettings = { ...this.records.createSettings(node, domain, addresses, seeds), ...DEPLOYMENT_LIMITS }
     writeFileSync(join(this.files.folder, `${node}.json`), JSON.stringify(settings))
     writeFileSync(join(this.files.folder, `${node}.links.json`), JSON.stringify(relays))
     return new RoutingEntry(settings, store, storeLink, links, this.files, this.onExited)
--- a/packages/soak/src/node/routing/routingRun.ts
+++ b/packages/soak/src/node/routing/routingRun.ts
@@ -149,7 +149,7 @@
       records: this.records,
       entries: this.entries.list,
       workerLinks: this.workerLinks,
-      setChangesPaused: (isHeld) => { this.areChangesPaused = isHeld }
+      setChangesPaused: (isPaused) => { this.areChangesPaused = isPaused }
     }
     const until = startedAt + this.plan.untilMs
     await Promise.all([
@@ -211,6 +211,7 @@
     this.runsByRequest.set(requestId, [...this.runsByRequest.get(requestId) ?? [], this.workerLocations.get(workerId)!])
   }
 
+  /** Waits until all VMs are ready at the newest version. @returns the names of the VMs that are not in time */
   private async waitUntilCurrent (timeoutMs: number): Promise<string[]> {
     const lateNodes: string[] = []
     const deadline = this.clock.now() + timeoutMs
--- a/packages/soak/src/node/routing/routingSteps.ts
+++ b/packages/soak/src/node/routing/routingSteps.ts
@@ -16,7 +16,7 @@
   readonly entries: readonly RoutingEntry[]
   readonly workerLinks: readonly TcpRelay[]
   /** Pauses or resumes the operator's configuration changes; they are paused while the store is unresponsive. */
-  setChangesPaused(isHeld: boolean): void
+  setChangesPaused(isPaused: boolean): void
 }
 
 type StepHandler = (environment: RoutingEnvironment, step: RoutingStep) => Promise<void>
@@ -50,6 +50,7 @@
   return [...new Set([...outgoing, ...incoming])]
 }
 
+/** Kills the processes of the affected VMs and restarts them after a delay in milliseconds. */
 async function runRestart (environment: RoutingEnvironment, affected: readonly RoutingEntry[], spanMs: number): Promise<void> {
   await Promise.all(affected.map(async (entry) => {
     await entry.runExclusively(async (program) => {
--- a/packages/soak/src/node/soakCallers.ts
+++ b/packages/soak/src/node/soakCallers.ts
@@ -84,8 +84,8 @@
       if (entry === undefined || leftMs < RETRY_DELAY_MS) return
       const answer = await this.send(kind, operationId, `${operationId}-${attempt}`, entry, leftMs)
       if (answer === AnswerKind.Whole) return
-      const mayRepeat = kind.isIdempotent || answer === AnswerKind.NotRun || answer === AnswerKind.NotSent
-      if (!mayRepeat) return
+      const mayRetry = kind.isIdempotent || answer === AnswerKind.NotRun || answer === AnswerKind.NotSent
+      if (!mayRetry) return
       failed.add(entry)
       await waitUntil(this.clock, this.clock.now() + RETRY_DELAY_MS * (1 + this.random.next()))
     }
--- a/packages/soak/src/node/soakWorkers.ts
+++ b/packages/soak/src/node/soakWorkers.ts
@@ -30,7 +30,7 @@
 
 /** The workers of a run. */
 export class SoakWorkers implements IClosable {
-  private readonly all = new Map<string, SoakWorker>()
+  private readonly workersById = new Map<string, SoakWorker>()
   /** Relays to all workers, including ended ones, whose relays no longer reach a listener. */
   private readonly openLinks = new Set<TcpRelay>()
   private startCount = 0
@@ -44,7 +44,7 @@
 
   /** @returns the workers that are neither draining nor ended */
   list (): SoakWorker[] {
-    return [...this.all.values()].filter(({ isLeaving }) => !isLeaving)
+    return [...this.workersById.values()].filter(({ isLeaving }) => !isLeaving)
   }
 
   /** @returns the complete body of the answer to a request, long enough that a truncated answer is detected */
@@ -74,7 +74,7 @@
     const link = new TcpRelay(await worker.listen())
     this.openLinks.add(link)
     const started = { id, service, domain, address: await link.start(), worker, link, isLeaving: false, startedAt: Math.floor(this.clock.getWallTime()) }
-    this.all.set(id, started)
+    this.workersById.set(id, started)
     if (isCold) this.checker.setCold(id, { perSecond: COLD_LIMIT_PER_SECOND, until: this.clock.now() + COLD_MS })
     this.renewRecord(started, isCold ? COLD_MS : 0)
     return started
@@ -82,7 +82,7 @@
 
   /** Writes a worker's registration again, unless the worker is draining or has ended. */
   renewRecord (worker: SoakWorker, coldMs = 0): void {
-    if (this.all.get(worker.id) !== worker || worker.isLeaving) return
+    if (this.workersById.get(worker.id) !== worker || worker.isLeaving) return
     const { id, service, domain, address, startedAt } = worker
     this.records.putWorker({ id, service, domain, address, coldMs, startedAt })
   }
@@ -93,7 +93,7 @@
     const { id } = worker
     previous.link.setTarget(await worker.listen())
     const started = { ...previous, id, service, worker, isLeaving: false, startedAt: Math.floor(this.clock.getWallTime()) }
-    this.all.set(id, started)
+    this.workersById.set(id, started)
     this.records.putWorker({ id, service, domain: previous.domain, address: previous.address })
   }
 
@@ -109,7 +109,7 @@
   end (ended: SoakWorker): void {
     ended.isLeaving = true
     ended.worker.close()
-    this.all.delete(ended.id)
+    this.workersById.delete(ended.id)
     this.checker.recordWorkerEnd(ended.id)
   }
 
@@ -119,7 +119,7 @@
   }
 
   async close (): Promise<void> {
-    for (const { worker } of this.all.values()) worker.close()
+    for (const { worker } of this.workersById.values()) worker.close()
     await Promise.all([...this.openLinks].map(async (link) => { await link.close() }))
   }
 
--- a/packages/soak/test/common/soakPlan.test.ts
+++ b/packages/soak/test/common/soakPlan.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { planSoak, SoakStepKind } from '../../src/common/soakPlan.js'
 
-const STOP_MS = 4_500
+const STOP_ALLOWANCE_MS = 4_500
 
 describe('planSoak', () => {
   it('returns equal plans for equal arguments', () => {
@@ -18,7 +18,7 @@
       assert.ok(phases.some(({ isPlanned }) => isPlanned) && phases.some(({ isPlanned }) => !isPlanned))
       for (const { atMs, spanMs } of steps) {
         assert.ok(phases.some(({ fromMs, untilMs: end }) => atMs >= fromMs && atMs < end))
-        assert.ok(spanMs > 0 && atMs + spanMs < untilMs - STOP_MS)
+        assert.ok(spanMs > 0 && atMs + spanMs < untilMs - STOP_ALLOWANCE_MS)
       }
     }))
   })
@@ -34,7 +34,7 @@
       for (const { fromMs, untilMs } of phases.filter(({ isPlanned }) => isPlanned)) {
         for (const { kind, atMs } of steps.filter((step) => step.atMs >= fromMs && step.atMs < untilMs)) {
           assert.ok(![SoakStepKind.EntryKill, SoakStepKind.EntryPause, SoakStepKind.WorkerCrash, SoakStepKind.LinkFault].includes(kind))
-          assert.ok(atMs <= untilMs - STOP_MS)
+          assert.ok(atMs <= untilMs - STOP_ALLOWANCE_MS)
         }
       }
     }))
--- a/packages/soak/test/node/soakChecker.test.ts
+++ b/packages/soak/test/node/soakChecker.test.ts
@@ -10,7 +10,7 @@
 import { SoakChecker } from '../../src/node/soakChecker.js'
 
 const ENTRY = '127.0.0.1:1'
-const ASSIGN = { operationId: 'op', service: 'desk', isIdempotent: false, path: '/assign/1', method: 'POST', bodyLength: 3, entry: ENTRY }
+const ATTEMPT = { operationId: 'op', service: 'desk', isIdempotent: false, path: '/assign/1', method: 'POST', bodyLength: 3, entry: ENTRY }
 const RUN = { method: 'POST', path: '/assign/1', bodyLength: 3, leftMs: 1_000, account: '', authorization: '' }
 
 /** A checker that detects nothing would pass every run, so each guarantee is violated here on purpose. */
@@ -30,7 +30,7 @@
   }
 
   it('reports nothing for a request that runs once and is answered', () => {
-    checker.recordSent({ ...ASSIGN, requestId: 'a' })
+    checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
     checker.onRunEnd('w-1', 'a', WorkerFault.None, true)
     checker.recordAnswer('a', AnswerKind.Whole, '')
@@ -38,14 +38,14 @@
   })
 
   it('reports a non-idempotent request that runs twice', () => {
-    checker.recordSent({ ...ASSIGN, requestId: 'a' })
+    checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
     checker.onRun('w-2', { ...RUN, requestId: 'a' })
     assert.deepEqual(listRules(), [ViolationKind.DoubledExecution])
   })
 
   it('reports a refusal of a request that had run', () => {
-    checker.recordSent({ ...ASSIGN, requestId: 'a' })
+    checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
     checker.recordAnswer('a', AnswerKind.NotRun, 'status 503')
     assert.deepEqual(listRules(), [ViolationKind.RanThoughNotRun])
@@ -53,17 +53,17 @@
 
   it('reports a run of a request that was not sent, or was sent with other content', () => {
     checker.onRun('w-1', { ...RUN, requestId: 'unknown' })
-    checker.recordSent({ ...ASSIGN, requestId: 'a' })
+    checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a', bodyLength: 4 })
     assert.deepEqual(listRules(), [SoakRule.UnexpectedRun, SoakRule.UnexpectedRun])
   })
 
   it('reports a request that runs for another account, or with the caller\'s API key', () => {
-    checker.recordSent({ ...ASSIGN, requestId: 'a', account: 'callers' })
+    checker.recordSent({ ...ATTEMPT, requestId: 'a', account: 'callers' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
-    checker.recordSent({ ...ASSIGN, operationId: 'op-b', requestId: 'b', account: 'callers' })
+    checker.recordSent({ ...ATTEMPT, operationId: 'op-b', requestId: 'b', account: 'callers' })
     checker.onRun('w-1', { ...RUN, requestId: 'b', account: 'callers', authorization: 'Bearer key' })
-    checker.recordSent({ ...ASSIGN, operationId: 'op-c', requestId: 'c', account: 'callers' })
+    checker.recordSent({ ...ATTEMPT, operationId: 'op-c', requestId: 'c', account: 'callers' })
     checker.onRun('w-1', { ...RUN, requestId: 'c', account: 'callers' })
     assert.deepEqual(listRules(), [SoakRule.UnexpectedRun, SoakRule.UnexpectedRun])
   })
@@ -71,7 +71,7 @@
   it('reports a run with an API key that was revoked longer ago than the limit', () => {
     checker.recordKeysRevoked('guests')
     const send = (requestId: string): void => {
-      checker.recordSent({ ...ASSIGN, operationId: requestId, requestId, account: 'guests' })
+      checker.recordSent({ ...ATTEMPT, operationId: requestId, requestId, account: 'guests' })
       checker.onRun('w-1', { ...RUN, requestId, account: 'guests' })
     }
     clock.stepBy(MAX_REVOCATION_MS)
@@ -84,7 +84,7 @@
   })
 
   it('reports an attempt that runs on a third worker', () => {
-    checker.recordSent({ ...ASSIGN, isIdempotent: true, requestId: 'a' })
+    checker.recordSent({ ...ATTEMPT, isIdempotent: true, requestId: 'a' })
     for (const worker of ['w-1', 'w-2', 'w-3']) checker.onRun(worker, { ...RUN, requestId: 'a' })
     assert.deepEqual(listRules(), [SoakRule.TooManyRuns])
   })
@@ -92,7 +92,7 @@
   it('reports each request beyond the limit of a cold worker in any second', () => {
     checker.setCold('w-1', { perSecond: 2, until: 5_000 })
     for (const requestId of ['a', 'b', 'c', 'd']) {
-      checker.recordSent({ ...ASSIGN, operationId: requestId, requestId })
+      checker.recordSent({ ...ATTEMPT, operationId: requestId, requestId })
       checker.onRun('w-1', { ...RUN, requestId })
       clock.stepBy(400)
     }
@@ -104,24 +104,24 @@
     checker.recordDrain('w-1')
     clock.stepBy(10_000)
     checker.updateDrains()
-    checker.recordSent({ ...ASSIGN, requestId: 'a' })
+    checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
     assert.deepEqual(listRules(), [], 'a disrupted VM may not know of the drain yet')
     disruptions.end()
     clock.stepBy(4_001)
     checker.updateDrains()
     clock.stepBy(2_600)
-    checker.recordSent({ ...ASSIGN, operationId: 'op-2', requestId: 'b' })
+    checker.recordSent({ ...ATTEMPT, operationId: 'op-2', requestId: 'b' })
     checker.onRun('w-1', { ...RUN, requestId: 'b' })
     assert.deepEqual(listRules(), [ViolationKind.WorkAfterDrain])
   })
 
   it('reports a request that a planned stop cut off, but not one that crossed the close', () => {
     checker.recordStopStart(ENTRY)
-    checker.recordSent({ ...ASSIGN, requestId: 'a' })
+    checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
     checker.recordAnswer('a', AnswerKind.Failed, 'ECONNRESET')
-    checker.recordSent({ ...ASSIGN, operationId: 'op-2', requestId: 'b' })
+    checker.recordSent({ ...ATTEMPT, operationId: 'op-2', requestId: 'b' })
     clock.stepBy(100)
     checker.recordAnswer('b', AnswerKind.Failed, 'ECONNRESET')
     assert.deepEqual(listRules(), [ViolationKind.CutAtPlannedStop])
