--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,13 +1,13 @@
 /**
- * Bundles the entry process for the users' platform into one file under target/:
- * finding and reading hundreds of modules is most of what a restart costs.
+ * Bundles the entry process for the users' platform into one file under target/.
+ * Resolving and reading hundreds of separate modules takes most of the time of a restart.
  */
 import { build } from 'esbuild'
 import { fileURLToPath } from 'node:url'
 
 const root = fileURLToPath(new URL('..', import.meta.url))
 
-/** Takes the workspace's packages from their sources, so that nothing has to be compiled first. */
+/** Resolves the workspace's packages to their sources, so that they need not be compiled first. */
 const workspaceSources = {
   name: 'workspace-sources',
   setup (bundle) {
@@ -39,7 +39,7 @@
   target: 'node20',
   format: 'esm',
   plugins: [workspaceSources, resultsBuild],
-  // Libraries in CommonJS ask for Node.js modules by require.
+  // Bundled CommonJS libraries load Node.js modules by `require`, which ES modules lack.
   banner: { js: "import { createRequire } from 'node:module'; const require = createRequire(import.meta.url);" },
   minify: true,
   legalComments: 'none',
--- a/scripts/lint/functionVerbs.mjs
+++ b/scripts/lint/functionVerbs.mjs
@@ -1,18 +1,18 @@
-/** Lint rule: the name of a function, method or function-valued variable begins with a listed verb. */
+/** Lint rule: the name of a function, method or function-valued variable must begin with a verb of the list. */
 import { VERBS } from './verbs.mjs'
 
-const known = new Set(VERBS)
-/** Names a library or the language gives, which the code can't choose. */
-const GIVEN = new Set(['constructor', 'main', 'describe', 'it', 'test', 'next', 'then', 'transform', 'flush', 'final', 'destroy', 'now'])
+const verbs = new Set(VERBS)
+/** Names prescribed by a library or the language. */
+const EXTERNAL_NAMES = new Set(['constructor', 'main', 'describe', 'it', 'test', 'next', 'then', 'transform', 'flush', 'final', 'destroy', 'now'])
 
 function getFirstWord (name) {
   return name.replace(/^[_#]+/, '').split(/(?=[A-Z0-9_])/)[0]
 }
 
 function checkName (context, node, name) {
-  if (GIVEN.has(name) || /^_(read|write|final|transform|flush|destroy)$/.test(name)) return
+  if (EXTERNAL_NAMES.has(name) || /^_(read|write|final|transform|flush|destroy)$/.test(name)) return
   if (/^[A-Z]/.test(name)) return
-  if (known.has(getFirstWord(name))) return
+  if (verbs.has(getFirstWord(name))) return
   context.report({ node, message: `'${name}' does not begin with a verb listed in docs/STYLE.md` })
 }
 
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -1,7 +1,7 @@
 /**
- * Runs every compiled test file of the workspace, or those whose path contains
- * one of the given words: `npm test -- steering/test/common/plan`. Fails unless
- * every test that failed is listed in KNOWN-RED.txt.
+ * Runs all compiled test files of the workspace, or those whose path contains one of
+ * the given words: `npm test -- steering/test/common/plan`. Succeeds if every failed
+ * test is listed in KNOWN-RED.txt.
  */
 import { spawnSync } from 'node:child_process'
 import { mkdtempSync, readFileSync, rmSync } from 'node:fs'
@@ -26,14 +26,17 @@
   process.exit(1)
 }
 
-/** Prints what is known to be red; only if nothing else failed may the run pass. */
-function judgeFailures (report) {
+/**
+ * Prints the tests that are known to fail.
+ * @returns whether tests failed and all of them are known to fail, so that the run may succeed
+ */
+function reportKnownFailures (report) {
   const failed = new Set(listFailedTests(report))
-  const known = readKnownRed(join(root, 'KNOWN-RED.txt'))
-  for (const { name, line } of known) {
-    process.stdout.write(`known red${failed.has(name) ? '' : ' (passed this time)'}: ${line}\n`)
+  const knownTests = readKnownRed(join(root, 'KNOWN-RED.txt'))
+  for (const { name, line } of knownTests) {
+    process.stdout.write(`known failure${failed.has(name) ? '' : ' (passed in this run)'}: ${line}\n`)
   }
-  const knownNames = new Set(known.map(({ name }) => name))
+  const knownNames = new Set(knownTests.map(({ name }) => name))
   return failed.size > 0 && [...failed].every((name) => knownNames.has(name))
 }
 
@@ -41,6 +44,6 @@
 const report = join(folder, 'report.tap')
 const reporters = ['--test-reporter=spec', '--test-reporter-destination=stdout', '--test-reporter=tap', `--test-reporter-destination=${report}`]
 const result = spawnSync(process.execPath, ['--test', '--test-concurrency=4', ...reporters, ...files], { cwd: root, stdio: 'inherit' })
-const isExcused = result.status !== 0 && judgeFailures(readFileSync(report, 'utf8'))
+const areFailuresKnown = result.status !== 0 && reportKnownFailures(readFileSync(report, 'utf8'))
 rmSync(folder, { recursive: true })
-process.exit(isExcused ? 0 : result.status ?? 1)
+process.exit(areFailuresKnown ? 0 : result.status ?? 1)
--- a/scripts/setUp.mjs
+++ b/scripts/setUp.mjs
@@ -1,6 +1,6 @@
 /**
- * Makes a fresh checkout runnable: installs the locked dependencies when they
- * are missing or not those of the lock file, then builds what changed.
+ * Prepares a checkout for running: installs the dependencies if they are missing or
+ * don't match the lock file, then builds what has changed.
  */
 import { spawnSync } from 'node:child_process'
 import { fileURLToPath } from 'node:url'
--- a/scripts/test/knownRed.test.mjs
+++ b/scripts/test/knownRed.test.mjs
@@ -20,12 +20,12 @@
 ok 2 - last
 `
 
-describe('tests that are known to be red', () => {
-  it('are compared with the tests that failed by themselves', () => {
+describe('KNOWN-RED.txt', () => {
+  it('is compared with failed tests, except those that failed only because of a subtest', () => {
     assert.deepEqual(listFailedTests(TAP), ['the broken one'])
   })
 
-  it('are listed with test, command, what was seen, cause and issue', () => {
+  it('lists each test with command, observed failure, cause and issue', () => {
     const folder = mkdtempSync(join(tmpdir(), 'known-red-'))
     const file = join(folder, 'KNOWN-RED.txt')
     try {
--- a/scripts/test/testWords.test.mjs
+++ b/scripts/test/testWords.test.mjs
@@ -4,17 +4,17 @@
 
 const FILE = 'packages/steering/dist/test/common/plan/planner.test.js'
 
-describe('words that choose tests', () => {
-  it('match paths as they stand among the sources', () => {
-    // The documented `npm test -- steering/test/common/plan` found no file:
-    // words were compared with the compiled path, which has `dist/` in between.
+describe('matchesWords', () => {
+  it('accepts words that match the path of the source file', () => {
+    // Guards against comparing words with the compiled path, which also contains `dist/`:
+    // the documented `npm test -- steering/test/common/plan` then found no file.
     assert.ok(matchesWords(FILE, ['steering/test/common/plan']))
     assert.ok(matchesWords(FILE, ['packages/steering/test/common/plan/planner.test.ts']))
     assert.ok(matchesWords(FILE, ['cli', 'dist/test/common/plan']))
     assert.ok(matchesWords(FILE, []))
   })
 
-  it('leave out what matches none', () => {
+  it('rejects a file that matches no word', () => {
     assert.ok(!matchesWords(FILE, ['steering/test/node', 'daemon']))
   })
 })
--- a/scripts/varySite.mjs
+++ b/scripts/varySite.mjs
@@ -1,46 +1,47 @@
 /**
- * Writes a copy of a site file with other delays, links, slots, workers, machines
- * and traffic, drawn from a seed: `node scripts/varySite.mjs SITE SEED FOLDER`. The
- * copy goes to a folder outside the repository; days are played on it to find what
- * holds on the known sites only. Its goals mean nothing, its rules do.
+ * Writes a variant of a site file, with delays, links, slots, workers, machines and
+ * traffic varied at random by a seed: `node scripts/varySite.mjs SITE SEED FOLDER`.
+ * The folder must be outside the repository. Simulated days on variants show which
+ * behaviour holds on the known sites only. The goals in the site file don't apply to
+ * a variant, but its rules do.
  */
 import { copyFileSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs'
 import { basename, dirname, join, resolve } from 'node:path'
 import { fileURLToPath } from 'node:url'
 import { SeededRandom } from '@umberspar/base/common/random'
 
-const USAGE = 'usage: node scripts/varySite.mjs SITE SEED FOLDER (FOLDER lies outside the repository)'
+const USAGE = 'usage: node scripts/varySite.mjs SITE SEED FOLDER (FOLDER must be outside the repository)'
 const root = fileURLToPath(new URL('..', import.meta.url))
 
-/** What is varied: a field, the least and the most factor, whether it stays whole, and its least value. */
-const VARIED = [
-  { field: 'cross_region_ms', least: 0.5, most: 2.5 },
-  { field: 'cross_zone_ms', least: 0.5, most: 6 },
-  { field: 'client_ms', least: 0.5, most: 2 },
-  { field: 'region_mbps', least: 0.6, most: 1.5 },
-  { field: 'cpu_share', least: 0.7, most: 1.3 },
-  { field: 'link_mbps', least: 0.3, most: 1 },
-  { field: 'slots', least: 0.6, most: 1.8, isWhole: true, floor: 2 },
-  { field: 'cold_per_s', least: 0.6, most: 1.5 },
-  { field: 'idle_close_ms', least: 0.4, most: 1.5, isWhole: true, floor: 1_000 },
-  { field: 'warm_keeps', least: 0.5, most: 1.5, isWhole: true, floor: 4 },
-  { field: 'per_s', least: 0.5, most: 1 }
+/** The fields to vary, with the range of the factor, and optionally whether values are rounded to integers and their minimum. */
+const VARIED_FIELDS = [
+  { field: 'cross_region_ms', minFactor: 0.5, maxFactor: 2.5 },
+  { field: 'cross_zone_ms', minFactor: 0.5, maxFactor: 6 },
+  { field: 'client_ms', minFactor: 0.5, maxFactor: 2 },
+  { field: 'region_mbps', minFactor: 0.6, maxFactor: 1.5 },
+  { field: 'cpu_share', minFactor: 0.7, maxFactor: 1.3 },
+  { field: 'link_mbps', minFactor: 0.3, maxFactor: 1 },
+  { field: 'slots', minFactor: 0.6, maxFactor: 1.8, isInteger: true, minValue: 2 },
+  { field: 'cold_per_s', minFactor: 0.6, maxFactor: 1.5 },
+  { field: 'idle_close_ms', minFactor: 0.4, maxFactor: 1.5, isInteger: true, minValue: 1_000 },
+  { field: 'warm_keeps', minFactor: 0.5, maxFactor: 1.5, isInteger: true, minValue: 4 },
+  { field: 'per_s', minFactor: 0.5, maxFactor: 1 }
 ]
 
 /**
- * @param {string} text a site file
- * @param {number} seed what the copy's figures are drawn from
- * @returns {string} the copy
+ * @param {string} text the contents of a site file
+ * @param {number} seed seed of the random factors
+ * @returns {string} the contents of the variant
  */
 export function varySite (text, seed) {
   const random = new SeededRandom(seed)
-  return VARIED.reduce((site, { field, least, most, isWhole = false, floor = 0 }) => {
-    // One factor a field: the parts of a site stay in proportion.
-    const factor = least + (most - least) * random.next()
-    return site.replace(new RegExp(`(\\b${field} = )(\\d+(?:\\.\\d+)?)`, 'g'), (_whole, name, figure) => {
-      const varied = Math.max(floor, Number(figure) * factor)
-      if (isWhole) return `${name}${Math.round(varied)}`
-      return `${name}${figure.includes('.') ? varied.toFixed(3) : Math.max(1, Math.round(varied))}`
+  return VARIED_FIELDS.reduce((site, { field, minFactor, maxFactor, isInteger = false, minValue = 0 }) => {
+    // All occurrences of a field get the same factor, so that the parts of a site stay in proportion.
+    const factor = minFactor + (maxFactor - minFactor) * random.next()
+    return site.replace(new RegExp(`(\\b${field} = )(\\d+(?:\\.\\d+)?)`, 'g'), (_match, name, digits) => {
+      const value = Math.max(minValue, Number(digits) * factor)
+      if (isInteger) return `${name}${Math.round(value)}`
+      return `${name}${digits.includes('.') ? value.toFixed(3) : Math.max(1, Math.round(value))}`
     })
   }, text)
 }
@@ -52,7 +53,7 @@
   const name = basename(site, '.toml')
   const file = join(folder, `${name}-${seed}.toml`)
   writeFileSync(file, varySite(readFileSync(site, 'utf8'), Number(seed)))
-  // Site files name this one beside them.
+  // Site files refer to this file in their own folder.
   copyFileSync(join(dirname(site), 'wire.json'), join(folder, 'wire.json'))
   process.stdout.write(`${file}\n`)
 }
