--- a/packages/soak/src/node/routing/routingRun.ts
+++ b/packages/soak/src/node/routing/routingRun.ts
@@ -211,7 +211,11 @@
     this.runsByRequest.set(requestId, [...this.runsByRequest.get(requestId) ?? [], this.workerLocations.get(workerId)!])
   }
 
-  /** Waits until all VMs are ready at the newest version. @returns the names of the VMs that are not in time */
+  /**
+   * Waits until all VMs are ready and use the newest version.
+   * @param timeoutMs how long to wait for all of them, in milliseconds
+   * @returns the names of the VMs that did not get there in time
+   */
   private async waitUntilCurrent (timeoutMs: number): Promise<string[]> {
     const lateNodes: string[] = []
     const deadline = this.clock.now() + timeoutMs
