--- a/packages/testing/src/common/history/historyChecker.ts
+++ b/packages/testing/src/common/history/historyChecker.ts
@@ -1,13 +1,13 @@
 /**
- * Checks a history against the product's promises to callers and upstreams,
- * event by event, so that a run need not be kept to be checked.
+ * Checks a history against the product's guarantees to callers and upstreams.
+ * Events are checked one by one, so that a run can be checked without storing it.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { AnswerKind, ExecutionEnd, HistoryEventKind } from './historyEvent.js'
 import type {
-  AnsweredEvent, ArrivedEvent, ConnectionsCountedEvent, ExecutionEndedEvent, ExecutionStartedEvent, HistoryEvent, IHistory, OfferedEvent
+  AnsweredEvent, ArrivedEvent, ConnectionsCountedEvent, ExecutionEndedEvent, ExecutionStartedEvent, HistoryEvent, IHistory, RefusedWhileDrainingEvent
 } from './historyEvent.js'
-import { PlannedSpans } from './plannedSpans.js'
+import { PlannedIntervals } from './plannedIntervals.js'
 import { RequestTable } from './requestTable.js'
 import type { RequestRecord } from './requestTable.js'
 import { ViolationKind } from './violation.js'
@@ -17,11 +17,11 @@
 export { countViolations, ViolationKind } from './violation.js'
 export type { Violation } from './violation.js'
 
-/** A leaving upstream gets no new work later than this after its announcement. */
+/** A draining upstream must get no new work after this time from its announcement. */
 export const DRAIN_GRACE_MS = 2000
 
-/** An execution of something that must run once. */
-interface OnceRecord {
+/** The first execution of a request that must run at most once. */
+interface AtMostOnceExecution {
   readonly workerId: string
   isReported: boolean
 }
@@ -29,62 +29,62 @@
 type EventOfKind<K extends HistoryEventKind> = Extract<HistoryEvent, { readonly kind: K }>
 type EventHandlers = { readonly [K in HistoryEventKind]: (event: EventOfKind<K>) => void }
 
-/** What an answer is on its face. */
+/** Answers that are violations by themselves. */
 const VIOLATION_BY_ANSWER: Readonly<Partial<Record<AnswerKind, ViolationKind>>> = {
   [AnswerKind.Truncated]: ViolationKind.TruncatedAnswer,
-  [AnswerKind.Crossed]: ViolationKind.CrossedAnswer
+  [AnswerKind.Crossed]: ViolationKind.MismatchedAnswer
 }
 
-/** Takes events in the order of their instants and tells each broken promise as soon as it shows. */
+/** Receives events sorted by time and reports each violation as soon as it can be detected. */
 export class HistoryChecker implements IHistory {
-  private readonly requests = new RequestTable()
-  private readonly workers = new WorkerTable()
-  private readonly drains = new PlannedSpans()
-  private readonly safeToStop = new PlannedSpans()
-  private readonly stops = new PlannedSpans()
-  private readonly onceByName = new Map<string, OnceRecord>()
-  private lastSlots = 0
-  private unlimited = 0
+  private readonly requestTable = new RequestTable()
+  private readonly workerTable = new WorkerTable()
+  private readonly drainIntervals = new PlannedIntervals()
+  private readonly safeToStopIntervals = new PlannedIntervals()
+  private readonly stopIntervals = new PlannedIntervals()
+  private readonly executionByAtMostOnceKey = new Map<string, AtMostOnceExecution>()
+  private saturationCount = 0
+  private uncheckedRequestCount = 0
 
   private readonly handlers: EventHandlers = {
-    [HistoryEventKind.Sent]: (event) => this.requests.recordSent(event),
+    [HistoryEventKind.Sent]: (event) => this.requestTable.recordSent(event),
     [HistoryEventKind.Answered]: (event) => this.checkAnswer(event),
     [HistoryEventKind.Arrived]: (event) => this.checkArrival(event),
     [HistoryEventKind.ExecutionStarted]: (event) => this.checkStart(event),
     [HistoryEventKind.ExecutionEnded]: (event) => this.checkEnd(event),
     [HistoryEventKind.Offered]: (event) => this.checkDrain(event),
-    [HistoryEventKind.FaultPlanted]: (event) => this.requests.recordFault(event),
-    [HistoryEventKind.LimitDeclared]: (event) => this.workers.setLimits(event),
+    [HistoryEventKind.FaultPlanted]: (event) => this.requestTable.recordFault(event),
+    [HistoryEventKind.LimitDeclared]: (event) => this.workerTable.setLimits(event),
     [HistoryEventKind.ConnectionsCounted]: (event) => this.checkConnections(event),
-    [HistoryEventKind.DrainAnnounced]: ({ targets, at }) => this.drains.open(targets, at),
-    [HistoryEventKind.SafeToStop]: ({ targets, at }) => this.safeToStop.open(targets, at),
-    [HistoryEventKind.StopBegan]: ({ targets, at }) => this.stops.open(targets, at),
-    [HistoryEventKind.StopEnded]: ({ targets, at }) => this.stops.close(targets, at),
+    [HistoryEventKind.DrainAnnounced]: ({ targets, at }) => this.drainIntervals.open(targets, at),
+    [HistoryEventKind.SafeToStop]: ({ targets, at }) => this.safeToStopIntervals.open(targets, at),
+    [HistoryEventKind.StopBegan]: ({ targets, at }) => this.stopIntervals.open(targets, at),
+    [HistoryEventKind.StopEnded]: ({ targets, at }) => this.stopIntervals.close(targets, at),
     [HistoryEventKind.DrainWithdrawn]: ({ targets, at }) => {
-      this.drains.close(targets, at)
-      this.safeToStop.close(targets, at)
+      this.drainIntervals.close(targets, at)
+      this.safeToStopIntervals.close(targets, at)
     }
   }
 
-  /** @param onViolation is called for each broken promise */
+  /** @param onViolation called for each violation */
   constructor (private readonly onViolation: (violation: Violation) => void) {}
 
-  /** @returns how many requests and executions are remembered, for reports on memory */
+  /** @returns the number of requests and executions tracked, for reports on memory use */
   countRemembered (): number {
-    return this.requests.size + this.onceByName.size
+    return this.requestTable.size + this.executionByAtMostOnceKey.size
   }
 
-  /** @returns how many requests took the last free slot of a worker: a run without any says nothing of limits */
+  /** @returns the number of requests that took the last free slot of a worker; if 0, the run has not tested the slot limits */
   countLastSlots (): number {
-    return this.lastSlots
+    return this.saturationCount
   }
 
-  /** @returns how many requests came to workers whose limits were never declared, so that nothing could be checked */
+  /** @returns the number of requests to workers without declared limits, whose slot use could not be checked */
   countUnlimited (): number {
-    return this.unlimited
+    return this.uncheckedRequestCount
   }
 
-  /** @param event the next event; not earlier than the one before */
+  /** @param event the next event, not earlier than the previous one */
   record (event: HistoryEvent): void {
     const handle = this.handlers[event.kind] as (event: HistoryEvent) => void
     handle(event)
@@ -96,94 +96,94 @@
 
   private checkAnswer (event: AnsweredEvent): void {
     const { requestId, answer, at, detail } = event
-    const request = this.requests.recordAnswer(event)
+    const request = this.requestTable.recordAnswer(event)
     const kind = VIOLATION_BY_ANSWER[answer]
     if (kind !== undefined) this.reportViolation(kind, at, requestId, detail ?? '')
-    if (answer === AnswerKind.NotRun && request.ranAt !== undefined) {
-      this.reportViolation(ViolationKind.RanThoughNotRun, at, requestId, `ran at ${request.ranAt}, then: ${detail ?? ''}`)
+    if (answer === AnswerKind.NotRun && request.firstWorkerId !== undefined) {
+      this.reportViolation(ViolationKind.RanThoughNotRun, at, requestId, `ran at ${request.firstWorkerId} before its caller was told "not-run": ${detail ?? ''}`)
     }
-    this.checkCutAtEntry(event, request)
+    this.checkInterruptionAtEntry(event, request)
   }
 
-  /** A caller loses its answer while the entry VM it asked is being stopped, and no worker spoilt that answer. */
-  private checkCutAtEntry ({ answer, requestId, at, detail }: AnsweredEvent, { sent, fault }: RequestRecord): void {
+  /** Reports a caller that lost its answer during a planned stop of its entry VM, unless a worker failed the request on purpose. */
+  private checkInterruptionAtEntry ({ answer, requestId, at, detail }: AnsweredEvent, { sent, injectedFault }: RequestRecord): void {
     if (answer !== AnswerKind.Failed && answer !== AnswerKind.Unknown) return
-    if (fault !== undefined || sent === undefined || !this.stops.hasOverlap(sent.entry, sent.at, at)) return
-    this.reportViolation(ViolationKind.CutAtPlannedStop, at, requestId, `${answer} at ${sent.entry}: ${detail ?? ''}`)
+    if (injectedFault !== undefined || sent === undefined || !this.stopIntervals.hasOverlap(sent.entry, sent.at, at)) return
+    this.reportViolation(ViolationKind.CutAtPlannedStop, at, requestId, `${answer} during the planned stop of ${sent.entry}: ${detail ?? ''}`)
   }
 
   private checkArrival (event: ArrivedEvent | ExecutionStartedEvent): void {
-    if (!this.workers.addHeld(event)) return
+    if (!this.workerTable.addHeld(event)) return
     this.checkDrain(event)
     const { workerId, at } = event
-    const held = this.workers.listHeld(workerId)
-    const limits = this.workers.getLimits(workerId)
-    if (limits === undefined) this.unlimited += 1
+    const held = this.workerTable.listHeld(workerId)
+    const limits = this.workerTable.getLimits(workerId)
+    if (limits === undefined) this.uncheckedRequestCount += 1
     const slots = limits?.slots ?? Infinity
-    if (held.length === slots) this.lastSlots += 1
+    if (held.length === slots) this.saturationCount += 1
     if (held.length <= slots) return
-    const holders = held.map(({ requestId, entryId, since }) => `${requestId} from ${entryId || '?'} since ${(at - since).toFixed(1)} ms`)
-    this.reportViolation(ViolationKind.LimitExceeded, at, workerId, `${held.length} requests for ${slots} slots: ${holders.join(', ')}`)
+    const descriptions = held.map(({ requestId, entryId, heldSince }) => `${requestId} from ${entryId || '?'} held for ${(at - heldSince).toFixed(1)} ms`)
+    this.reportViolation(ViolationKind.LimitExceeded, at, workerId, `holds ${held.length} requests with ${slots} slots: ${descriptions.join(', ')}`)
   }
 
   private checkStart (event: ExecutionStartedEvent): void {
     this.checkArrival(event)
-    const request = this.requests.recordStart(event)
-    this.checkOnce(event, request)
+    const request = this.requestTable.recordStart(event)
+    this.checkAtMostOnce(event, request)
     const { requestId, workerId, at } = event
-    if (request.wasToldNotRun) this.reportViolation(ViolationKind.RanThoughNotRun, at, requestId, `runs at ${workerId} after its caller was told`)
+    if (request.wasToldNotRun) this.reportViolation(ViolationKind.RanThoughNotRun, at, requestId, `ran at ${workerId} after its caller was told "not-run"`)
   }
 
-  /** One operation with a key has two names; it is reported once. */
-  private checkOnce (event: ExecutionStartedEvent, request: RequestRecord): void {
+  /** Reports a repeated execution. An operation with an Idempotency-Key has two keys here, but is reported once. */
+  private checkAtMostOnce (event: ExecutionStartedEvent, request: RequestRecord): void {
     const { workerId, at, requestId } = event
-    const known: OnceRecord[] = []
-    const names = listOnceNames(event, request)
-    for (const name of names) {
-      const record = this.onceByName.get(name)
-      if (record === undefined) this.onceByName.set(name, { workerId, isReported: false })
-      else known.push(record)
+    const earlierExecutions: AtMostOnceExecution[] = []
+    const keys = listAtMostOnceKeys(event, request)
+    for (const key of keys) {
+      const earlierExecution = this.executionByAtMostOnceKey.get(key)
+      if (earlierExecution === undefined) this.executionByAtMostOnceKey.set(key, { workerId, isReported: false })
+      else earlierExecutions.push(earlierExecution)
     }
-    const [first] = known
-    if (first === undefined || known.some(({ isReported }) => isReported)) return
-    for (const record of known) record.isReported = true
-    this.reportViolation(ViolationKind.DoubledExecution, at, names[0] ?? '', `ran at ${first.workerId}, and as ${requestId} at ${workerId}`)
+    const [firstExecution] = earlierExecutions
+    if (firstExecution === undefined || earlierExecutions.some(({ isReported }) => isReported)) return
+    for (const record of earlierExecutions) record.isReported = true
+    this.reportViolation(ViolationKind.DoubledExecution, at, keys[0] ?? '', `ran at ${firstExecution.workerId}, then again as ${requestId} at ${workerId}`)
   }
 
   private checkEnd (event: ExecutionEndedEvent): void {
-    const held = this.workers.removeHeld(event)
+    const held = this.workerTable.removeHeld(event)
     const { workerId, at, end } = event
-    // Safe to stop means that nothing is in flight, so whatever ends otherwise was cut off by the stop.
-    if (held === undefined || end === ExecutionEnd.Answered || !this.stops.hasOverlap(workerId, held.since, at)) return
-    this.reportViolation(ViolationKind.CutAtPlannedStop, at, held.requestId, `cut at ${workerId}`)
+    // A worker that is safe to stop has nothing in flight, so an execution that ends early during a stop was interrupted by it.
+    if (held === undefined || end === ExecutionEnd.Answered || !this.stopIntervals.hasOverlap(workerId, held.heldSince, at)) return
+    this.reportViolation(ViolationKind.CutAtPlannedStop, at, held.requestId, `interrupted by the planned stop of ${workerId}`)
   }
 
-  /** Work that a draining worker had to refuse was sent there all the same. */
-  private checkDrain ({ workerId, requestId, at }: ArrivedEvent | ExecutionStartedEvent | OfferedEvent): void {
-    const late = this.drains.find(workerId, at, DRAIN_GRACE_MS)
-    const unsafe = this.safeToStop.find(workerId, at, 0)
-    const span = unsafe ?? late
-    if (span === undefined) return
-    const cause = unsafe === undefined ? 'the announced drain' : 'safe to stop'
-    this.reportViolation(ViolationKind.WorkAfterDrain, at, workerId, `${requestId} came ${(at - span.from).toFixed(0)} ms after ${cause}`)
+  /** Reports new work sent to a draining worker, including work that the worker refused. */
+  private checkDrain ({ workerId, requestId, at }: ArrivedEvent | ExecutionStartedEvent | RefusedWhileDrainingEvent): void {
+    const drainInterval = this.drainIntervals.find(workerId, at, DRAIN_GRACE_MS)
+    const safeToStopInterval = this.safeToStopIntervals.find(workerId, at, 0)
+    const interval = safeToStopInterval ?? drainInterval
+    if (interval === undefined) return
+    const cause = safeToStopInterval === undefined ? 'the drain was announced' : 'the worker was safe to stop'
+    this.reportViolation(ViolationKind.WorkAfterDrain, at, workerId, `${requestId} arrived ${(at - interval.from).toFixed(0)} ms after ${cause}`)
   }
 
   private checkConnections ({ workerId, open, at }: ConnectionsCountedEvent): void {
-    const bearable = this.workers.getLimits(workerId)?.connections ?? Infinity
-    if (open > bearable) this.reportViolation(ViolationKind.LimitExceeded, at, workerId, `${open} connections of ${bearable}`)
+    const maxConnections = this.workerTable.getLimits(workerId)?.connections ?? Infinity
+    if (open > maxConnections) this.reportViolation(ViolationKind.LimitExceeded, at, workerId, `${open} open connections, limit ${maxConnections}`)
   }
 }
 
-/** Names under which an execution must be the only one. */
-function listOnceNames ({ service, idempotencyKey }: ExecutionStartedEvent, { sent }: RequestRecord): string[] {
-  const names: string[] = []
-  if (idempotencyKey !== undefined) names.push(`key ${service}/${idempotencyKey}`)
-  if (sent !== undefined && !sent.isIdempotent) names.push(`operation ${sent.operationId}`)
-  return names
+/** Lists the keys for which this must be the only execution. */
+function listAtMostOnceKeys ({ service, idempotencyKey }: ExecutionStartedEvent, { sent }: RequestRecord): string[] {
+  const keys: string[] = []
+  if (idempotencyKey !== undefined) keys.push(`key ${service}/${idempotencyKey}`)
+  if (sent !== undefined && !sent.isIdempotent) keys.push(`operation ${sent.operationId}`)
+  return keys
 }
 
-/** At one instant, what a planned change concerns begins after its announcement and ends before its withdrawal. */
-const RANK_BY_KIND: Readonly<Partial<Record<HistoryEventKind, number>>> = {
+/** Among simultaneous events, announcements come before other events, and withdrawals after them. */
+const SORT_RANK_BY_KIND: Readonly<Partial<Record<HistoryEventKind, number>>> = {
   [HistoryEventKind.LimitDeclared]: -1,
   [HistoryEventKind.DrainAnnounced]: -1,
   [HistoryEventKind.SafeToStop]: -1,
@@ -194,21 +194,21 @@
 
 /**
  * @param one an event
- * @param other another
- * @returns below 0 if `one` comes first; 0 keeps the order in which they were recorded
+ * @param other another event
+ * @returns a negative number if `one` comes first; 0 if the recorded order stays
  */
 export function compareEvents (one: HistoryEvent, other: HistoryEvent): number {
-  return one.at - other.at || (RANK_BY_KIND[one.kind] ?? 0) - (RANK_BY_KIND[other.kind] ?? 0)
+  return one.at - other.at || (SORT_RANK_BY_KIND[one.kind] ?? 0) - (SORT_RANK_BY_KIND[other.kind] ?? 0)
 }
 
 /**
- * @param events what callers, workers and planned changes left behind, in any order of several recorders
- * @returns every broken promise, in the order of the kinds; empty if all were kept
+ * @param events the events of callers, workers and planned changes, in any order
+ * @returns all violations, sorted by kind
  */
 export function checkHistory (events: readonly HistoryEvent[]): Violation[] {
-  const found: Violation[] = []
-  const checker = new HistoryChecker((violation) => found.push(violation))
+  const violations: Violation[] = []
+  const checker = new HistoryChecker((violation) => violations.push(violation))
   for (const event of [...events].sort(compareEvents)) checker.record(event)
   const kinds = Object.values(ViolationKind)
-  return found.sort((one, other) => kinds.indexOf(one.kind) - kinds.indexOf(other.kind))
+  return violations.sort((one, other) => kinds.indexOf(one.kind) - kinds.indexOf(other.kind))
 }
--- a/packages/testing/src/common/history/historyEvent.ts
+++ b/packages/testing/src/common/history/historyEvent.ts
@@ -1,38 +1,38 @@
 /**
- * What a concurrent run leaves behind for the checker: events of callers, of
- * worker stand-ins and of planned changes, all on one clock's time line.
+ * The events that a concurrent run records for the history checker: those of
+ * callers, of simulated workers and of planned changes, all timed by one clock.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 
-/** What a caller found when an attempt ended. */
+/** The result of an attempt as its caller sees it. */
 export enum AnswerKind {
-  /** The attempt's own answer, complete, with a status that an upstream chose. */
+  /** A complete answer to this attempt, with a status set by an upstream. */
   Whole = 'whole',
   /** The answer says that the request did not run. */
   NotRun = 'not-run',
   /** The answer says that the request may have run. */
   Unknown = 'unknown',
-  /** The answer says that an earlier attempt with the same Idempotency-Key ran. */
+  /** The answer says that an earlier attempt with the same Idempotency-Key has run. */
   AlreadyRan = 'already-ran',
-  /** The answer ended as if complete, but its length or digest is wrong. */
+  /** The answer ended normally, but its length or digest is wrong. */
   Truncated = 'truncated',
   /** The answer belongs to another request. */
   Crossed = 'crossed',
-  /** The connection could not be opened: nothing was sent. */
+  /** The connection could not be opened, so nothing was sent. */
   NotSent = 'not-sent',
-  /** No answer: the connection failed, broke off, or the caller's time ran out. */
+  /** No answer: the connection failed or was closed early, or the caller timed out. */
   Failed = 'failed'
 }
 
 /** How an execution at a worker ended. */
 export enum ExecutionEnd {
-  /** The worker wrote its whole answer. */
+  /** The worker sent its complete answer. */
   Answered = 'answered',
-  /** The requesting side went away first. */
+  /** The client disconnected first. */
   Cancelled = 'cancelled',
-  /** The worker broke off because it failed or was stopped. */
+  /** The worker failed or was stopped before it had answered. */
   Cut = 'cut',
-  /** It left the worker's queue without having run. */
+  /** The request left the worker's queue without having run. */
   Abandoned = 'abandoned'
 }
 
@@ -54,18 +54,18 @@
   StopEnded = 'stop-ended'
 }
 
-/** A caller sends one attempt of an operation. */
+/** A caller sent one attempt of an operation. */
 export interface SentEvent {
   readonly kind: HistoryEventKind.Sent
   readonly at: Instant
-  /** Differs for each attempt, so that a refused attempt is told from the one that ran. */
+  /** Unique per attempt, so that a refused attempt can be distinguished from one that ran. */
   readonly requestId: string
-  /** The same for all attempts of one operation. */
+  /** Shared by all attempts of one operation. */
   readonly operationId: string
   readonly service: string
   readonly isIdempotent: boolean
   readonly idempotencyKey?: string
-  /** `host:port` of the entry VM asked. */
+  /** `host:port` of the entry VM that the attempt was sent to. */
   readonly entry: string
 }
 
@@ -75,18 +75,18 @@
   readonly at: Instant
   readonly requestId: string
   readonly answer: AnswerKind
-  /** What a person needs to find the cause: status, error text, the id echoed. */
+  /** Details for troubleshooting: status, error text, the request id that the answer repeated. */
   readonly detail?: string
 }
 
 /**
- * A request asks for a slot of a worker, whether it gets one at once, waits in
- * the worker's queue or is refused because that is full.
+ * A request reached a worker and needs a slot, whether it gets one immediately,
+ * waits in the worker's queue or is refused because the queue is full.
  */
 export interface ArrivedEvent {
   readonly kind: HistoryEventKind.Arrived
   readonly at: Instant
-  /** Also of the start, if it comes to that, and of the end. */
+  /** Repeated by the start event, if the request runs, and by the end event. */
   readonly executionId: number
   readonly workerId: string
   readonly requestId: string
@@ -94,11 +94,11 @@
   readonly entryId: string
 }
 
-/** A worker begins to run a request. */
+/** A worker started to run a request. */
 export interface ExecutionStartedEvent {
   readonly kind: HistoryEventKind.ExecutionStarted
   readonly at: Instant
-  /** Differs for each execution, also of the same request. */
+  /** Unique per execution, also among executions of the same request. */
   readonly executionId: number
   readonly workerId: string
   readonly requestId: string
@@ -106,7 +106,7 @@
   readonly idempotencyKey?: string
 }
 
-/** A worker no longer runs a request, or no longer holds it in its queue. */
+/** A worker stopped running a request, or removed it from its queue. */
 export interface ExecutionEndedEvent {
   readonly kind: HistoryEventKind.ExecutionEnded
   readonly at: Instant
@@ -115,25 +115,25 @@
   readonly end: ExecutionEnd
 }
 
-/** A worker gets a request and refuses it because it drains: new work was sent there although it did not run. */
-export interface OfferedEvent {
+/** A draining worker refused a request. The request did not run, but new work was sent to the worker. */
+export interface RefusedWhileDrainingEvent {
   readonly kind: HistoryEventKind.Offered
   readonly at: Instant
   readonly workerId: string
   readonly requestId: string
 }
 
-/** A worker stand-in is about to fail a request on purpose, so what its caller sees may be due to that. */
-export interface FaultPlantedEvent {
+/** A simulated worker is about to fail a request on purpose, which may explain a failure that the caller sees. */
+export interface FaultInjectedEvent {
   readonly kind: HistoryEventKind.FaultPlanted
   readonly at: Instant
   readonly workerId: string
   readonly requestId: string
-  /** Which fault, for counts. */
+  /** The kind of fault, for statistics. */
   readonly fault: string
 }
 
-/** What a worker bears, from this event on. */
+/** The limits of a worker, valid from this event on. */
 export interface LimitDeclaredEvent {
   readonly kind: HistoryEventKind.LimitDeclared
   readonly at: Instant
@@ -142,7 +142,7 @@
   readonly connections: number
 }
 
-/** How many connections a worker has open. */
+/** The number of connections that a worker has open. */
 export interface ConnectionsCountedEvent {
   readonly kind: HistoryEventKind.ConnectionsCounted
   readonly at: Instant
@@ -150,7 +150,7 @@
   readonly open: number
 }
 
-/** A planned change that concerns some workers or entry VMs. */
+/** A planned change to some workers or entry VMs. */
 export interface PlannedEvent {
   readonly kind:
     | HistoryEventKind.DrainAnnounced
@@ -170,31 +170,31 @@
   | ArrivedEvent
   | ExecutionStartedEvent
   | ExecutionEndedEvent
-  | OfferedEvent
-  | FaultPlantedEvent
+  | RefusedWhileDrainingEvent
+  | FaultInjectedEvent
   | LimitDeclaredEvent
   | ConnectionsCountedEvent
   | PlannedEvent
 
-/** Where the events of a run go. */
+/** Receives the events of a run. */
 export interface IHistory {
-  /** @param event what happened, with its instant */
+  /** @param event the event to record */
   record(event: HistoryEvent): void
 }
 
-/** Keeps the events of one run, in the order in which they happen. */
+/** Stores the events of one run in the order in which they are recorded. */
 export class HistoryRecorder implements IHistory {
-  private readonly recorded: HistoryEvent[] = []
+  private readonly recordedEvents: HistoryEvent[] = []
 
-  /** All events so far. */
+  /** All events recorded so far. */
   get events (): readonly HistoryEvent[] {
-    return this.recorded
+    return this.recordedEvents
   }
 
   /**
-   * @param event what happened, with its instant
+   * @param event the event to record
    */
   record (event: HistoryEvent): void {
-    this.recorded.push(event)
+    this.recordedEvents.push(event)
   }
 }
--- a/packages/testing/src/common/history/historyMerger.ts
+++ b/packages/testing/src/common/history/historyMerger.ts
@@ -1,42 +1,42 @@
-/** Brings the events of several recorders, each in its own order, onto one time line. */
+/** Merges the events of several recorders, each sorted by time, into one sorted stream. */
 import type { Instant } from '@umberspar/base/common/clock'
 import { compareEvents } from './historyChecker.js'
 import type { HistoryEvent, IHistory } from './historyEvent.js'
 
 /**
- * Holds events back until no recorder can still hand over an earlier one: a
- * process that reports in batches is behind, and its executions must be seen
- * before the answers that they led to.
+ * Buffers events until no recorder can still report an earlier one. A process
+ * that reports in batches lags behind, but its executions must be checked before
+ * the answers that they led to.
  */
 export class HistoryMerger {
-  private pending: HistoryEvent[] = []
-  private readonly passedBySource = new Map<string, Instant>()
+  private pendingEvents: HistoryEvent[] = []
+  private readonly watermarkBySource = new Map<string, Instant>()
 
   /**
-   * @param target gets the events in the order of their instants
+   * @param target receives the events, sorted by time
    * @param sources the recorders that will report
    */
   constructor (private readonly target: IHistory, sources: readonly string[]) {
-    for (const source of sources) this.passedBySource.set(source, -Infinity)
+    for (const source of sources) this.watermarkBySource.set(source, -Infinity)
   }
 
-  /** @returns how many events are held back */
+  /** @returns the number of buffered events */
   countPending (): number {
-    return this.pending.length
+    return this.pendingEvents.length
   }
 
   /**
    * @param source one of the recorders
-   * @param events what it recorded since its last report
-   * @param passed it will record nothing at or before this instant any more
+   * @param events the events that it recorded since its last report
+   * @param watermark the recorder will report no more events at or before this instant
    */
-  accept (source: string, events: readonly HistoryEvent[], passed: Instant): void {
-    for (const event of events) this.pending.push(event)
-    this.passedBySource.set(source, passed)
-    const settled = Math.min(...this.passedBySource.values())
-    this.pending.sort(compareEvents)
-    const end = this.pending.findIndex(({ at }) => at > settled)
-    const due = this.pending.splice(0, end === -1 ? this.pending.length : end)
-    for (const event of due) this.target.record(event)
+  accept (source: string, events: readonly HistoryEvent[], watermark: Instant): void {
+    for (const event of events) this.pendingEvents.push(event)
+    this.watermarkBySource.set(source, watermark)
+    const lowestWatermark = Math.min(...this.watermarkBySource.values())
+    this.pendingEvents.sort(compareEvents)
+    const firstLaterIndex = this.pendingEvents.findIndex(({ at }) => at > lowestWatermark)
+    const readyEvents = this.pendingEvents.splice(0, firstLaterIndex === -1 ? this.pendingEvents.length : firstLaterIndex)
+    for (const event of readyEvents) this.target.record(event)
   }
 }
--- a/packages/testing/src/common/history/peakRunning.ts
+++ b/packages/testing/src/common/history/peakRunning.ts
@@ -1,27 +1,27 @@
-/** The most requests that ran at a time, by group of workers. */
+/** Computes the peak number of concurrent executions per group of workers. */
 import { HistoryEventKind } from './historyEvent.js'
 import type { HistoryEvent } from './historyEvent.js'
 
 /**
- * @param events a history in the order of its instants
- * @param findGroup the group a worker counts for, for example its region
- * @returns the peak of each group that ran anything
+ * @param events a history, sorted by time
+ * @param getGroup returns the group of a worker, for example its region
+ * @returns the peak by group, without groups that ran nothing
  */
-export function computePeakRunning (events: readonly HistoryEvent[], findGroup: (workerId: string) => string): Map<string, number> {
-  const running = new Map<string, number>()
-  const peaks = new Map<string, number>()
+export function computePeakRunning (events: readonly HistoryEvent[], getGroup: (workerId: string) => string): Map<string, number> {
+  const countByGroup = new Map<string, number>()
+  const peakByGroup = new Map<string, number>()
   for (const event of events) {
-    const change = CHANGE_BY_KIND[event.kind]
+    const change = COUNT_CHANGE_BY_KIND[event.kind]
     if (change === undefined || !('workerId' in event)) continue
-    const group = findGroup(event.workerId)
-    const count = (running.get(group) ?? 0) + change
-    running.set(group, count)
-    peaks.set(group, Math.max(peaks.get(group) ?? 0, count))
+    const group = getGroup(event.workerId)
+    const count = (countByGroup.get(group) ?? 0) + change
+    countByGroup.set(group, count)
+    peakByGroup.set(group, Math.max(peakByGroup.get(group) ?? 0, count))
   }
-  return peaks
+  return peakByGroup
 }
 
-const CHANGE_BY_KIND: Readonly<Partial<Record<HistoryEventKind, number>>> = {
+const COUNT_CHANGE_BY_KIND: Readonly<Partial<Record<HistoryEventKind, number>>> = {
   [HistoryEventKind.ExecutionStarted]: 1,
   [HistoryEventKind.ExecutionEnded]: -1
 }
--- a/packages/testing/src/common/history/requestTable.ts
+++ b/packages/testing/src/common/history/requestTable.ts
@@ -1,69 +1,68 @@
 /**
- * What is known of each request sent. A request is forgotten as soon as nothing
- * that can still happen to it would break a promise, so a run of any length is
- * checked exactly in memory that grows only with requests that must run once.
+ * Tracks the state of each request sent. A record is removed as soon as no later
+ * event of its request could be a violation, so a run of any length is checked
+ * exactly, and memory grows only with requests that must run at most once.
  */
 import { AnswerKind } from './historyEvent.js'
-import type { AnsweredEvent, ExecutionStartedEvent, FaultPlantedEvent, SentEvent } from './historyEvent.js'
+import type { AnsweredEvent, ExecutionStartedEvent, FaultInjectedEvent, SentEvent } from './historyEvent.js'
 
-/** One attempt of a caller, so far. */
+/** The state of one attempt of a caller. */
 export interface RequestRecord {
-  /** Undefined: no caller of the history sent it. */
+  /** Undefined if no caller in the history sent it. */
   sent?: SentEvent
-  /** The first worker that ran it. */
-  ranAt?: string
+  firstWorkerId?: string
   wasToldNotRun: boolean
-  /** The last fault that a worker planted in it. */
-  fault?: string
+  /** The last fault that a worker injected into it. */
+  injectedFault?: string
 }
 
-/** The requests of a run. */
+/** The requests of a run, by request id. */
 export class RequestTable {
-  private readonly records = new Map<string, RequestRecord>()
+  private readonly recordsById = new Map<string, RequestRecord>()
 
-  /** @returns how many requests are remembered */
+  /** @returns the number of requests tracked */
   get size (): number {
-    return this.records.size
+    return this.recordsById.size
   }
 
-  /** @param event a caller sends a request */
+  /** @param event a caller sent a request */
   recordSent (event: SentEvent): void {
-    this.load(event.requestId).sent = event
+    this.getOrCreate(event.requestId).sent = event
   }
 
   /**
-   * @param event a worker begins to run a request
-   * @returns what is known of it, this run included
+   * @param event a worker started to run a request
+   * @returns the request's state, including this execution
    */
   recordStart (event: ExecutionStartedEvent): RequestRecord {
-    const record = this.load(event.requestId)
-    record.ranAt ??= event.workerId
+    const record = this.getOrCreate(event.requestId)
+    record.firstWorkerId ??= event.workerId
     return record
   }
 
-  /** @param event a worker is about to fail a request */
-  recordFault (event: FaultPlantedEvent): void {
-    const record = this.records.get(event.requestId)
-    if (record !== undefined) record.fault = event.fault
+  /** @param event a worker is about to fail a request on purpose */
+  recordFault (event: FaultInjectedEvent): void {
+    const record = this.recordsById.get(event.requestId)
+    if (record !== undefined) record.injectedFault = event.fault
   }
 
   /**
-   * @param event a caller has its answer
-   * @returns what is known of the request
+   * @param event a caller received an answer
+   * @returns the request's state
    */
   recordAnswer (event: AnsweredEvent): RequestRecord {
-    const record = this.load(event.requestId)
+    const record = this.getOrCreate(event.requestId)
     if (event.answer === AnswerKind.NotRun) record.wasToldNotRun = true
-    // An idempotent request may run again and late; only after "not-run" a run would break a promise.
-    if (record.sent?.isIdempotent === true && !record.wasToldNotRun) this.records.delete(event.requestId)
+    // An idempotent request may run again at any time; it is a violation only after the caller was told "not-run".
+    if (record.sent?.isIdempotent === true && !record.wasToldNotRun) this.recordsById.delete(event.requestId)
     return record
   }
 
-  private load (requestId: string): RequestRecord {
-    const known = this.records.get(requestId)
+  private getOrCreate (requestId: string): RequestRecord {
+    const known = this.recordsById.get(requestId)
     if (known !== undefined) return known
     const record: RequestRecord = { wasToldNotRun: false }
-    this.records.set(requestId, record)
+    this.recordsById.set(requestId, record)
     return record
   }
 }
--- a/packages/testing/src/common/history/violation.ts
+++ b/packages/testing/src/common/history/violation.ts
@@ -1,25 +1,25 @@
-/** The promises that a history can break. */
+/** The violations that a history can contain. */
 import type { Instant } from '@umberspar/base/common/clock'
 
-/** A promise that a history breaks. */
+/** The guarantee that was violated. */
 export enum ViolationKind {
-  /** A request that may not be repeated, or an idempotency key, ran more than once. */
+  /** A non-idempotent request, or an idempotency key, ran more than once. */
   DoubledExecution = 'doubled-execution',
-  /** A caller was told `not-run` of an attempt that some worker ran. */
+  /** A caller was told `not-run` for an attempt that a worker ran. */
   RanThoughNotRun = 'ran-though-not-run',
-  /** An answer ended as if complete although a part was missing. */
+  /** An answer ended normally although a part of it was missing. */
   TruncatedAnswer = 'truncated-answer',
   /** A caller got the answer to another request. */
-  CrossedAnswer = 'crossed-answer',
-  /** A worker was sent more requests at a time than it has slots, or had more connections than it bears. */
+  MismatchedAnswer = 'crossed-answer',
+  /** A worker held more concurrent requests than it has slots, or had more connections than its limit. */
   LimitExceeded = 'limit-exceeded',
-  /** A worker got new work although it had announced its drain, or after it was safe to stop. */
+  /** A worker got new work after its drain was announced, or after it was safe to stop. */
   WorkAfterDrain = 'work-after-drain',
-  /** A planned stop cut off a request in flight. */
+  /** A planned stop interrupted a request in flight. */
   CutAtPlannedStop = 'cut-at-planned-stop'
 }
 
-/** One broken promise. */
+/** One violation of a guarantee. */
 export interface Violation {
   readonly kind: ViolationKind
   readonly at: Instant
@@ -29,8 +29,8 @@
 }
 
 /**
- * @param violations what a check found
- * @returns how often each kind was found; every kind is present
+ * @param violations the result of a check
+ * @returns the number of violations by kind, including kinds without any
  */
 export function countViolations (violations: readonly Violation[]): Record<ViolationKind, number> {
   const kinds = Object.values(ViolationKind)
--- a/packages/testing/src/common/history/workerTable.ts
+++ b/packages/testing/src/common/history/workerTable.ts
@@ -1,52 +1,52 @@
-/** What each worker holds at an instant: requests in its slots and in its queue. */
+/** Tracks the requests that each worker holds, in its slots and in its queue. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { ArrivedEvent, ExecutionEndedEvent, ExecutionStartedEvent, LimitDeclaredEvent } from './historyEvent.js'
 
-/** A request that a worker holds. */
+/** A request that a worker is running or has queued. */
 export interface HeldExecution {
   readonly requestId: string
   readonly workerId: string
-  readonly since: Instant
-  /** The node id of the entry VM that sent it; empty if the history does not say. */
+  readonly heldSince: Instant
+  /** The node id of the entry VM that sent it; empty if the history does not record it. */
   readonly entryId: string
 }
 
-/** The workers of a run. */
+/** The limits and held requests of all workers in a run. */
 export class WorkerTable {
-  private readonly limits = new Map<string, LimitDeclaredEvent>()
+  private readonly limitsByWorker = new Map<string, LimitDeclaredEvent>()
   private readonly heldById = new Map<number, HeldExecution>()
   private readonly heldByWorker = new Map<string, Set<HeldExecution>>()
 
-  /** @param event what a worker bears from now on */
+  /** @param event the worker's limits from now on */
   setLimits (event: LimitDeclaredEvent): void {
-    this.limits.set(event.workerId, event)
+    this.limitsByWorker.set(event.workerId, event)
   }
 
   /**
    * @param workerId the worker
-   * @returns what it bears; undefined if that was never declared
+   * @returns its limits; undefined if they were never declared
    */
   getLimits (workerId: string): LimitDeclaredEvent | undefined {
-    return this.limits.get(workerId)
+    return this.limitsByWorker.get(workerId)
   }
 
   /**
-   * @param event a request that reaches a worker
-   * @returns whether it was new there: a start whose arrival is known is not
+   * @param event a request arrived at a worker, or started to run there
+   * @returns whether the execution was added; false for a start whose arrival was recorded before
    */
   addHeld (event: ArrivedEvent | ExecutionStartedEvent): boolean {
     if (this.heldById.has(event.executionId)) return false
     const { requestId, workerId, at } = event
-    const held: HeldExecution = { requestId, workerId, since: at, entryId: 'entryId' in event ? event.entryId : '' }
+    const held: HeldExecution = { requestId, workerId, heldSince: at, entryId: 'entryId' in event ? event.entryId : '' }
     this.heldById.set(event.executionId, held)
-    const members = this.heldByWorker.get(workerId) ?? new Set()
-    this.heldByWorker.set(workerId, members.add(held))
+    const workerHeld = this.heldByWorker.get(workerId) ?? new Set()
+    this.heldByWorker.set(workerId, workerHeld.add(held))
     return true
   }
 
   /**
-   * @param event a worker no longer holds a request
-   * @returns the request as it was held; undefined if it never was
+   * @param event the end of an execution
+   * @returns the removed request; undefined if the worker did not hold it
    */
   removeHeld ({ executionId }: ExecutionEndedEvent): HeldExecution | undefined {
     const held = this.heldById.get(executionId)
@@ -58,7 +58,7 @@
 
   /**
    * @param workerId the worker
-   * @returns the requests it holds now, the oldest first
+   * @returns the requests that it holds, oldest first
    */
   listHeld (workerId: string): HeldExecution[] {
     return [...this.heldByWorker.get(workerId) ?? []]
--- a/packages/testing/test/common/history/historyChecker.test.ts
+++ b/packages/testing/test/common/history/historyChecker.test.ts
@@ -15,7 +15,7 @@
 const SLOTS = 2
 const CONNECTIONS = 3
 
-interface ExchangePlan {
+interface ExchangeOptions {
   readonly id: string
   readonly sentAt: number
   readonly worker?: string
@@ -28,15 +28,15 @@
 
 let nextExecutionId = 1
 
-/** Declares what both workers bear. */
+/** Declares the limits of both workers. */
 function buildLimits (): HistoryEvent[] {
   return [WORKER, OTHER_WORKER].map((workerId) => ({
     kind: HistoryEventKind.LimitDeclared, at: 0, workerId, slots: SLOTS, connections: CONNECTIONS
   }))
 }
 
-/** One execution of a request, 10 ms long. */
-function buildExecution (plan: ExchangePlan, startedAt = plan.sentAt + 1): HistoryEvent[] {
+/** Builds an execution that takes 10 ms. */
+function buildExecution (plan: ExchangeOptions, startedAt = plan.sentAt + 1): HistoryEvent[] {
   const executionId = nextExecutionId++
   const workerId = plan.worker ?? WORKER
   return [
@@ -45,8 +45,8 @@
   ]
 }
 
-/** A request that waits in the worker's queue and leaves it without having run. */
-function buildWait (id: string, from: number, until: number, worker = WORKER): HistoryEvent[] {
+/** Builds a request that waits in the worker's queue and leaves it without having run. */
+function buildAbandonedWait (id: string, from: number, until: number, worker = WORKER): HistoryEvent[] {
   const executionId = nextExecutionId++
   return [
     { kind: HistoryEventKind.Arrived, at: from, executionId, workerId: worker, requestId: id, entryId: 'entry-1' },
@@ -54,12 +54,12 @@
   ]
 }
 
-function buildFault (id: string, at: number): HistoryEvent {
+function buildInjectedFault (id: string, at: number): HistoryEvent {
   return { kind: HistoryEventKind.FaultPlanted, at, workerId: WORKER, requestId: id, fault: 'reset' }
 }
 
-/** A caller's attempt without what happens at a worker. */
-function buildAttempt (plan: ExchangePlan): HistoryEvent[] {
+/** Builds the caller's events of an attempt, without an execution. */
+function buildAttempt (plan: ExchangeOptions): HistoryEvent[] {
   return [
     {
       kind: HistoryEventKind.Sent,
@@ -75,7 +75,7 @@
   ]
 }
 
-function buildExchange (plan: ExchangePlan): HistoryEvent[] {
+function buildExchange (plan: ExchangeOptions): HistoryEvent[] {
   return [...buildAttempt(plan), ...buildExecution(plan)]
 }
 
@@ -88,46 +88,46 @@
     ...buildLimits(),
     ...buildExchange({ id: 'a.1', sentAt: 0 }),
     ...buildExchange({ id: 'b.1', sentAt: 1, key: 'k-b' }),
-    // Refused before it ran, then repeated and run once.
+    // Refused before it ran, then retried and run once.
     ...buildAttempt({ id: 'c.1', sentAt: 20, answer: AnswerKind.NotRun }),
     ...buildExchange({ id: 'c.2', sentAt: 40 }),
     // An idempotent request may run twice.
     ...buildExchange({ id: 'd.1', sentAt: 60, isIdempotent: true }),
     ...buildExecution({ id: 'd.1', sentAt: 60, worker: OTHER_WORKER }),
     { kind: HistoryEventKind.ConnectionsCounted, at: 80, workerId: WORKER, open: CONNECTIONS },
-    // The last work of a draining worker begins within its grace.
+    // The last request of a draining worker starts within the grace period.
     buildPlanned(HistoryEventKind.DrainAnnounced, 100),
     ...buildExchange({ id: 'e.1', sentAt: 2000 }),
     buildPlanned(HistoryEventKind.SafeToStop, 2200),
     buildPlanned(HistoryEventKind.StopBegan, 2210),
-    // Cut while another worker is being stopped: no planned stop caused it.
+    // Interrupted while another worker is being stopped, so not by the planned stop.
     ...buildExchange({ id: 'f.1', sentAt: 2220, worker: OTHER_WORKER, end: ExecutionEnd.Cut, answer: AnswerKind.Unknown }),
     buildPlanned(HistoryEventKind.StopEnded, 2300),
     buildPlanned(HistoryEventKind.DrainWithdrawn, 2400),
-    // The worker reset this one by itself while the entry VM was being stopped: the stop did not cut it.
+    // The worker reset this request while the entry VM was being stopped, so the stop did not interrupt it.
     buildPlanned(HistoryEventKind.StopBegan, 3000, ENTRY),
     ...buildExchange({ id: 'h.1', sentAt: 3010, answer: AnswerKind.Unknown }),
-    buildFault('h.1', 3020),
+    buildInjectedFault('h.1', 3020),
     buildPlanned(HistoryEventKind.StopEnded, 3100, ENTRY),
-    // One asks for the second slot and leaves before it starts: within the limit.
+    // The second request takes the last slot and leaves before it starts, which is within the limit.
     ...buildExchange({ id: 'i.1', sentAt: 3200 }),
-    ...buildWait('j.1', 3205, 3210),
-    // Told "not-run" and then asked for a slot, but was withdrawn before it ran.
+    ...buildAbandonedWait('j.1', 3205, 3210),
+    // Arrived at the worker after its caller was told "not-run", but left the queue without having run.
     ...buildAttempt({ id: 'k.1', sentAt: 3300, answer: AnswerKind.NotRun }),
-    ...buildWait('k.1', 3310, 3330),
+    ...buildAbandonedWait('k.1', 3310, 3330),
     ...buildExchange({ id: 'g.1', sentAt: 9000 })
   ]
 }
 
-/** Events that break one promise when added to the clean history. */
-const PLANTED_FAULTS: ReadonlyArray<{ readonly title: string, readonly kind: ViolationKind, readonly events: () => HistoryEvent[] }> = [
+/** Events that cause one violation when added to the clean history. */
+const VIOLATION_CASES: ReadonlyArray<{ readonly title: string, readonly kind: ViolationKind, readonly events: () => HistoryEvent[] }> = [
   {
     title: 'a non-idempotent request runs at two workers',
     kind: ViolationKind.DoubledExecution,
     events: () => [...buildExchange({ id: 'x.1', sentAt: 5000 }), ...buildExecution({ id: 'x.1', sentAt: 5000, worker: OTHER_WORKER })]
   },
   {
-    title: 'a repeat runs after an attempt that had run',
+    title: 'a retry runs after an attempt that had run',
     kind: ViolationKind.DoubledExecution,
     events: () => [
       ...buildExchange({ id: 'x.1', sentAt: 5000, answer: AnswerKind.Unknown }),
@@ -148,7 +148,7 @@
     ]
   },
   {
-    title: 'a caller is told not-run after a worker ran it',
+    title: 'a caller is told not-run after a worker ran the request',
     kind: ViolationKind.RanThoughNotRun,
     events: () => buildExchange({ id: 'x.1', sentAt: 5000, answer: AnswerKind.NotRun })
   },
@@ -157,11 +157,11 @@
     kind: ViolationKind.RanThoughNotRun,
     events: () => [
       ...buildExchange({ id: 'x.1', sentAt: 5000, isIdempotent: true, end: ExecutionEnd.Cancelled, answer: AnswerKind.NotRun }),
-      buildFault('x.1', 5002)
+      buildInjectedFault('x.1', 5002)
     ]
   },
   {
-    title: 'a worker runs what the caller was told is not run, later',
+    title: 'a worker runs a request after its caller was told not-run',
     kind: ViolationKind.RanThoughNotRun,
     events: () => [
       ...buildAttempt({ id: 'x.1', sentAt: 5000, answer: AnswerKind.NotRun }),
@@ -169,13 +169,13 @@
     ]
   },
   {
-    title: 'an answer is short and looks complete',
+    title: 'an answer is truncated but ends normally',
     kind: ViolationKind.TruncatedAnswer,
     events: () => buildExchange({ id: 'x.1', sentAt: 5000, answer: AnswerKind.Truncated })
   },
   {
     title: 'a caller gets the answer to another request',
-    kind: ViolationKind.CrossedAnswer,
+    kind: ViolationKind.MismatchedAnswer,
     events: () => buildExchange({ id: 'x.1', sentAt: 5000, answer: AnswerKind.Crossed })
   },
   {
@@ -186,10 +186,10 @@
   {
     title: 'a third request waits while two run in two slots',
     kind: ViolationKind.LimitExceeded,
-    events: () => [...['x.1', 'y.1'].flatMap((id) => buildExchange({ id, sentAt: 5000 })), ...buildWait('z.1', 5005, 5009)]
+    events: () => [...['x.1', 'y.1'].flatMap((id) => buildExchange({ id, sentAt: 5000 })), ...buildAbandonedWait('z.1', 5005, 5009)]
   },
   {
-    title: 'a worker has more connections than it bears',
+    title: 'a worker has more connections than its limit',
     kind: ViolationKind.LimitExceeded,
     events: () => [{ kind: HistoryEventKind.ConnectionsCounted, at: 5000, workerId: WORKER, open: CONNECTIONS + 1 }]
   },
@@ -203,7 +203,7 @@
     ]
   },
   {
-    title: 'a worker has to refuse work more than 2 s after its drain was announced',
+    title: 'a worker refuses work more than 2 s after its drain was announced',
     kind: ViolationKind.WorkAfterDrain,
     events: () => [
       buildPlanned(HistoryEventKind.DrainAnnounced, 5000),
@@ -212,7 +212,7 @@
     ]
   },
   {
-    title: 'a worker gets work right after it was safe to stop',
+    title: 'a worker gets work immediately after it was safe to stop',
     kind: ViolationKind.WorkAfterDrain,
     events: () => [
       buildPlanned(HistoryEventKind.SafeToStop, 5000),
@@ -225,23 +225,23 @@
     kind: ViolationKind.WorkAfterDrain,
     events: () => [
       buildPlanned(HistoryEventKind.SafeToStop, 5000),
-      ...buildWait('x.1', 5001, 5003),
+      ...buildAbandonedWait('x.1', 5001, 5003),
       buildPlanned(HistoryEventKind.DrainWithdrawn, 8000)
     ]
   },
   {
-    title: 'a planned stop of a daemon leaves its caller without a word whether the request ran',
+    title: 'a planned stop of a daemon leaves its caller unable to tell whether the request ran',
     kind: ViolationKind.CutAtPlannedStop,
     events: () => [
       buildPlanned(HistoryEventKind.StopBegan, 5000, OTHER_ENTRY),
       ...buildAttempt({ id: 'x.1', sentAt: 5001, answer: AnswerKind.Unknown, entry: OTHER_ENTRY }),
       buildPlanned(HistoryEventKind.StopEnded, 5002, OTHER_ENTRY),
-      // Another request's fault excuses nothing.
-      buildFault('y.1', 5003)
+      // A fault injected into another request does not excuse the violation.
+      buildInjectedFault('y.1', 5003)
     ]
   },
   {
-    title: 'a planned stop of a worker cuts an execution',
+    title: 'a planned stop of a worker interrupts an execution',
     kind: ViolationKind.CutAtPlannedStop,
     events: () => [
       ...buildExchange({ id: 'x.1', sentAt: 5000, end: ExecutionEnd.Cut, answer: AnswerKind.Unknown }),
@@ -249,7 +249,7 @@
     ]
   },
   {
-    title: 'a planned stop of an entry VM cuts an answer',
+    title: 'a planned stop of an entry VM interrupts an answer',
     kind: ViolationKind.CutAtPlannedStop,
     events: () => [
       ...buildExchange({ id: 'x.1', sentAt: 5000, answer: AnswerKind.Failed }),
@@ -259,20 +259,20 @@
 ]
 
 describe('checkHistory', () => {
-  it('finds nothing in a clean history', () => {
+  it('reports no violation for a clean history', () => {
     assert.deepEqual(checkHistory(buildCleanHistory()), [])
   })
 
-  for (const { title, kind, events } of PLANTED_FAULTS) {
-    it(`finds, and finds only: ${title}`, () => {
+  for (const { title, kind, events } of VIOLATION_CASES) {
+    it(`reports exactly one violation if ${title}`, () => {
       const found = checkHistory([...buildCleanHistory(), ...events()])
       assert.deepEqual(found.map((violation) => violation.kind), [kind])
     })
   }
 
-  it('gives the same verdict in whatever order the recorders are merged', () => {
-    // Workers and callers record apart; only the instants put their events in order.
-    const planted = PLANTED_FAULTS.flatMap(({ events }, index) => events().map((event) => ({ ...event, at: event.at + index * 20_000 })))
+  it('reports the same violations in whatever order the events of the recorders are merged', () => {
+    // Workers and callers record separately, so their events can be ordered only by time.
+    const planted = VIOLATION_CASES.flatMap(({ events }, index) => events().map((event) => ({ ...event, at: event.at + index * 20_000 })))
     const expected = countViolations(checkHistory(planted))
     const order = fc.shuffledSubarray(planted, { minLength: planted.length })
     fc.assert(fc.property(order, (shuffled) => {
