--- a/packages/testing/src/common/load/mixes.ts
+++ b/packages/testing/src/common/load/mixes.ts
@@ -1,6 +1,6 @@
-/** The workloads of the two deployments: which requests their callers send, how often and how large. */
+/** The traffic mix of each example deployment: the kinds of requests that callers send, their frequency and size. */
 
-/** The deployments that the brief describes. */
+/** The example deployments. */
 export enum DeploymentName {
   Teratai = 'teratai',
   Guild = 'guild'
@@ -8,58 +8,57 @@
 
 /** One kind of request of a service. */
 export interface RequestTemplate {
-  /** In reports. */
+  /** Shown in reports. */
   readonly name: string
-  /** Its share among the service's requests. */
+  /** Relative frequency among the service's requests. */
   readonly weight: number
   readonly method: 'GET' | 'HEAD' | 'POST' | 'PUT'
-  /** Below `/v1/services/S`; a request number is appended. */
+  /** Relative to `/v1/services/S`; a request number is appended. */
   readonly path: string
-  /** Size of the item asked for, in bytes; 0 if the answer is the worker's own report. */
+  /** Size of the requested item; 0 if the worker answers with its own report. */
   readonly answerBytes: number
-  /** Whether the caller may send it again without knowing whether it ran. */
+  /** Whether the caller may retry it without knowing whether it ran. */
   readonly isIdempotent: boolean
-  /** Whether it carries an Idempotency-Key. */
   readonly hasKey: boolean
-  /** Sizes of the body in bytes, spread evenly; both 0 for none. */
+  /** Body sizes are distributed uniformly between both limits; both are 0 for requests without a body. */
   readonly minBodyBytes: number
   readonly maxBodyBytes: number
 }
 
-/** One service's part of a workload. */
+/** The part of a deployment's traffic that goes to one service. */
 export interface ServiceMix {
   readonly service: string
-  /** Its share among the deployment's requests. */
+  /** Relative frequency among the deployment's requests. */
   readonly weight: number
   readonly templates: readonly RequestTemplate[]
 }
 
-const KB = 1024
-const SMALL_BODY_MIN = 200
-const SMALL_BODY_MAX = 2 * KB
-const UPLOAD_BODY_MIN = 20 * KB
+const BYTES_PER_KIB = 1024
+const MIN_SMALL_BODY_BYTES = 200
+const MAX_SMALL_BODY_BYTES = 2 * BYTES_PER_KIB
+const MIN_UPLOAD_BODY_BYTES = 20 * BYTES_PER_KIB
 
-const ITEM_BYTES = 4 * KB
+const ITEM_BYTES = 4 * BYTES_PER_KIB
 
-/** A look-up of callers' data; worker stand-ins make the bytes of `/items/` from path and request id. */
+/** Builds a read; simulated workers generate the bytes of `/items/` from the path and the request id. */
 function buildRead (name: string, weight: number, path: string): RequestTemplate {
   return {
     name, weight, method: 'GET', path: `/items${path}`, answerBytes: ITEM_BYTES, isIdempotent: true, hasKey: false, minBodyBytes: 0, maxBodyBytes: 0
   }
 }
 
-/** A write that must run at most once. */
-function buildOnce (name: string, weight: number, path: string): RequestTemplate {
+/** Builds a write that must run at most once. */
+function buildNonIdempotentWrite (name: string, weight: number, path: string): RequestTemplate {
   return {
-    name, weight, method: 'POST', path, answerBytes: 0, isIdempotent: false, hasKey: true, minBodyBytes: SMALL_BODY_MIN, maxBodyBytes: SMALL_BODY_MAX
+    name, weight, method: 'POST', path, answerBytes: 0, isIdempotent: false, hasKey: true, minBodyBytes: MIN_SMALL_BODY_BYTES, maxBodyBytes: MAX_SMALL_BODY_BYTES
   }
 }
 
 function buildUpload (name: string, weight: number, path: string, maxBodyBytes: number): RequestTemplate {
-  return { name, weight, method: 'PUT', path, answerBytes: 0, isIdempotent: true, hasKey: false, minBodyBytes: UPLOAD_BODY_MIN, maxBodyBytes }
+  return { name, weight, method: 'PUT', path, answerBytes: 0, isIdempotent: true, hasKey: false, minBodyBytes: MIN_UPLOAD_BODY_BYTES, maxBodyBytes }
 }
 
-const TERATAI: readonly ServiceMix[] = [
+const TERATAI_MIX: readonly ServiceMix[] = [
   {
     service: 'itinerary-svc',
     weight: 50,
@@ -68,21 +67,21 @@
   {
     service: 'escort-svc',
     weight: 25,
-    templates: [buildRead('escort status', 75, '/escorts'), buildOnce('assign escort', 25, '/assignments')]
+    templates: [buildRead('escort status', 75, '/escorts'), buildNonIdempotentWrite('assign escort', 25, '/assignments')]
   },
   {
     service: 'docs-svc',
     weight: 12,
-    templates: [buildRead('consent state', 40, '/consents'), buildUpload('consent letter or scan', 60, '/uploads/scans', 300 * KB)]
+    templates: [buildRead('consent state', 40, '/consents'), buildUpload('consent letter or scan', 60, '/uploads/scans', 300 * BYTES_PER_KIB)]
   },
   {
     service: 'billing-svc',
     weight: 13,
-    templates: [buildRead('payment state', 50, '/invoices'), buildOnce('payment', 50, '/payments')]
+    templates: [buildRead('payment state', 50, '/invoices'), buildNonIdempotentWrite('payment', 50, '/payments')]
   }
 ]
 
-const GUILD: readonly ServiceMix[] = [
+const GUILD_MIX: readonly ServiceMix[] = [
   {
     service: 'sheet-archive',
     weight: 50,
@@ -91,22 +90,22 @@
   {
     service: 'closeout-desk',
     weight: 15,
-    templates: [buildRead('closeout state', 50, '/closeouts'), buildOnce('closeout', 50, '/closeouts')]
+    templates: [buildRead('closeout state', 50, '/closeouts'), buildNonIdempotentWrite('closeout', 50, '/closeouts')]
   },
   {
     service: 'photo-intake',
     weight: 20,
-    templates: [buildRead('photo set state', 30, '/sets'), buildUpload('photos', 70, '/uploads/photos', 400 * KB)]
+    templates: [buildRead('photo set state', 30, '/sets'), buildUpload('photos', 70, '/uploads/photos', 400 * BYTES_PER_KIB)]
   },
   {
     service: 'visit-ledger',
     weight: 15,
-    templates: [buildRead('visits', 50, '/visits'), buildOnce('billable visit', 50, '/visits')]
+    templates: [buildRead('visits', 50, '/visits'), buildNonIdempotentWrite('billable visit', 50, '/visits')]
   }
 ]
 
-/** What the callers of each deployment send. */
+/** The traffic mix of each deployment. */
 export const MIX_BY_DEPLOYMENT: Readonly<Record<DeploymentName, readonly ServiceMix[]>> = {
-  [DeploymentName.Teratai]: TERATAI,
-  [DeploymentName.Guild]: GUILD
+  [DeploymentName.Teratai]: TERATAI_MIX,
+  [DeploymentName.Guild]: GUILD_MIX
 }
--- a/packages/testing/src/common/load/operation.ts
+++ b/packages/testing/src/common/load/operation.ts
@@ -1,4 +1,4 @@
-/** One thing a caller wants done, drawn from a workload; it may take several attempts. */
+/** Operations of callers, generated from a traffic mix; an operation may take several attempts. */
 import type { IRandomSource } from '@umberspar/base/common/random'
 import { chooseWeighted } from './arrivals.js'
 import type { RequestTemplate, ServiceMix } from './mixes.js'
@@ -8,44 +8,44 @@
   readonly operationId: string
   readonly service: string
   readonly template: RequestTemplate
-  /** Below `/v1/services/S`. */
+  /** Relative to `/v1/services/S`. */
   readonly path: string
   readonly idempotencyKey: string | undefined
   readonly bodyBytes: number
 }
 
-/** Draws operations from a workload. */
+/** Generates operations from a traffic mix. */
 export class OperationSource {
-  private drawn = 0
-  /** Operations still to come, by service; a service without an entry has no quota. */
-  private readonly left = new Map<string, number>()
+  private createdCount = 0
+  /** Remaining operations by service; a service without an entry has no quota. */
+  private readonly remainingByService = new Map<string, number>()
 
   /**
    * @param random the source of all choices
    * @param mixes the services and their requests
-   * @param label begins every operation id; differs between sources of one run
-   * @param quota draws exactly so many operations of each service, in a random
-   *   order; without it services come by their weights, without end
+   * @param idPrefix prefix of all operation ids, unique per source within a run
+   * @param quota number of operations to generate for each service, in random
+   *   order; without it, services are chosen by weight and the source is unlimited
    */
   constructor (
     private readonly random: IRandomSource,
     private readonly mixes: readonly ServiceMix[],
-    private readonly label: string,
+    private readonly idPrefix: string,
     quota?: number
   ) {
     if (quota === undefined) return
-    for (const { service } of mixes) this.left.set(service, quota)
+    for (const { service } of mixes) this.remainingByService.set(service, quota)
   }
 
-  /** @returns the next operation; with a quota, not to be called beyond it */
+  /** @returns the next operation; must not be called after the quota is used up */
   takeNext (): Operation {
-    const index = this.drawn
-    this.drawn += 1
-    const mix = chooseWeighted(this.random, this.mixes, ({ service, weight }) => this.left.get(service) ?? weight)
-    const left = this.left.get(mix.service)
-    if (left !== undefined) this.left.set(mix.service, left - 1)
+    const index = this.createdCount
+    this.createdCount += 1
+    const mix = chooseWeighted(this.random, this.mixes, ({ service, weight }) => this.remainingByService.get(service) ?? weight)
+    const remaining = this.remainingByService.get(mix.service)
+    if (remaining !== undefined) this.remainingByService.set(mix.service, remaining - 1)
     const template = chooseWeighted(this.random, mix.templates, ({ weight }) => weight)
-    const operationId = `${this.label}-${index}`
+    const operationId = `${this.idPrefix}-${index}`
     return {
       operationId,
       service: mix.service,
--- a/packages/testing/src/common/load/repeatRules.ts
+++ b/packages/testing/src/common/load/repeatRules.ts
@@ -1,66 +1,66 @@
-/** What a caller may do after an attempt, by how the attempt ended. */
+/** Decides whether a caller may retry after an attempt, by the result of the attempt. */
 import { AnswerKind } from '../history/historyEvent.js'
 
-/** What follows an attempt. */
+/** What a caller does after an attempt. */
 export enum NextStep {
   /** The operation has ended. */
   Stop = 'stop',
-  /** Send again, after the pause that the answer asks for. */
-  SendAgain = 'send-again'
+  /** Send the request again, after the delay that the answer asks for. */
+  Retry = 'send-again'
 }
 
-/** What a request's caller may rely on when it repeats. */
+/** What makes it safe to retry a request. */
 export enum RepeatSafety {
-  /** Running twice does no harm. */
+  /** The request is idempotent. */
   Idempotent = 'idempotent',
-  /** Its service runs an Idempotency-Key once. */
+  /** The service runs requests with the same Idempotency-Key only once. */
   Keyed = 'keyed',
-  /** Nothing. */
+  /** A retry is safe only if the request did not run. */
   None = 'none'
 }
 
-type RepeatChoice = Readonly<Record<RepeatSafety, NextStep>>
+type RetryRule = Readonly<Record<RepeatSafety, NextStep>>
 
-const NEVER: RepeatChoice = { [RepeatSafety.Idempotent]: NextStep.Stop, [RepeatSafety.Keyed]: NextStep.Stop, [RepeatSafety.None]: NextStep.Stop }
-const ALWAYS: RepeatChoice = { [RepeatSafety.Idempotent]: NextStep.SendAgain, [RepeatSafety.Keyed]: NextStep.SendAgain, [RepeatSafety.None]: NextStep.SendAgain }
-const IF_IDEMPOTENT: RepeatChoice = { ...NEVER, [RepeatSafety.Idempotent]: NextStep.SendAgain }
-const IF_SAFE: RepeatChoice = { ...ALWAYS, [RepeatSafety.None]: NextStep.Stop }
+const NEVER_RETRY: RetryRule = { [RepeatSafety.Idempotent]: NextStep.Stop, [RepeatSafety.Keyed]: NextStep.Stop, [RepeatSafety.None]: NextStep.Stop }
+const ALWAYS_RETRY: RetryRule = { [RepeatSafety.Idempotent]: NextStep.Retry, [RepeatSafety.Keyed]: NextStep.Retry, [RepeatSafety.None]: NextStep.Retry }
+const RETRY_IF_IDEMPOTENT: RetryRule = { ...NEVER_RETRY, [RepeatSafety.Idempotent]: NextStep.Retry }
+const RETRY_IF_SAFE: RetryRule = { ...ALWAYS_RETRY, [RepeatSafety.None]: NextStep.Stop }
 
 /**
- * A non-idempotent request is sent again only when it certainly did not run, or
- * with its key to ask what became of an attempt whose answer was lost.
- * Truncated and crossed answers end the operation: a repeat would hide them.
+ * A non-idempotent request is retried only if it certainly did not run, or with
+ * its Idempotency-Key to find out the outcome of an attempt whose answer was lost.
+ * Truncated and mismatched answers end the operation, as a retry would hide them.
  */
-const CHOICE_BY_ANSWER: Readonly<Record<AnswerKind, RepeatChoice>> = {
-  [AnswerKind.Whole]: NEVER,
-  [AnswerKind.NotRun]: ALWAYS,
-  [AnswerKind.NotSent]: ALWAYS,
-  [AnswerKind.Unknown]: IF_IDEMPOTENT,
-  [AnswerKind.Failed]: IF_SAFE,
-  [AnswerKind.AlreadyRan]: NEVER,
-  [AnswerKind.Truncated]: NEVER,
-  [AnswerKind.Crossed]: NEVER
+const RETRY_RULE_BY_ANSWER: Readonly<Record<AnswerKind, RetryRule>> = {
+  [AnswerKind.Whole]: NEVER_RETRY,
+  [AnswerKind.NotRun]: ALWAYS_RETRY,
+  [AnswerKind.NotSent]: ALWAYS_RETRY,
+  [AnswerKind.Unknown]: RETRY_IF_IDEMPOTENT,
+  [AnswerKind.Failed]: RETRY_IF_SAFE,
+  [AnswerKind.AlreadyRan]: NEVER_RETRY,
+  [AnswerKind.Truncated]: NEVER_RETRY,
+  [AnswerKind.Crossed]: NEVER_RETRY
 }
 
 /**
- * @param answer how the attempt ended
- * @param safety what the caller relies on
- * @param isAskedBack whether the answer names a time to come back
- * @returns whether the caller may send it again
+ * @param answer the result of the attempt
+ * @param safety what makes a retry safe
+ * @param hasRetryAfter whether the answer has a Retry-After header
+ * @returns whether the caller may retry
  */
-export function decideNextStep (answer: AnswerKind, safety: RepeatSafety, isAskedBack: boolean): NextStep {
-  // With a key, `unknown` with a Retry-After says that the first attempt still runs;
-  // without one, that nobody will learn more.
-  if (answer === AnswerKind.Unknown && isAskedBack) return IF_SAFE[safety]
-  return CHOICE_BY_ANSWER[answer][safety]
+export function decideNextStep (answer: AnswerKind, safety: RepeatSafety, hasRetryAfter: boolean): NextStep {
+  // For a request with a key, `unknown` with a Retry-After means that the first attempt
+  // is still running; without a Retry-After, the outcome will never be known.
+  if (answer === AnswerKind.Unknown && hasRetryAfter) return RETRY_IF_SAFE[safety]
+  return RETRY_RULE_BY_ANSWER[answer][safety]
 }
 
 /**
  * @param isIdempotent whether the request may run twice
- * @param key its Idempotency-Key; only services that deduplicate are sent one
- * @returns what its caller may rely on
+ * @param idempotencyKey its Idempotency-Key; sent only to services that deduplicate requests
+ * @returns what makes a retry safe
  */
-export function findRepeatSafety (isIdempotent: boolean, key: string | undefined): RepeatSafety {
+export function findRepeatSafety (isIdempotent: boolean, idempotencyKey: string | undefined): RepeatSafety {
   if (isIdempotent) return RepeatSafety.Idempotent
-  return key === undefined ? RepeatSafety.None : RepeatSafety.Keyed
+  return idempotencyKey === undefined ? RepeatSafety.None : RepeatSafety.Keyed
 }
