--- a/packages/testing/src/common/choice/choiceBench.ts
+++ b/packages/testing/src/common/choice/choiceBench.ts
@@ -1,7 +1,8 @@
 /**
- * Simulated time, the product's own tables and choice: two entry VMs send Poisson
- * arrivals to the workers of one place. Answers carry the load; each entry VM
- * hears of the other's answers only every half second, as by heartbeats.
+ * Simulates worker selection with the product's own worker tables and policy: two
+ * entry VMs send Poisson arrivals to the workers of one place. Each answer reports
+ * the worker's load. An entry VM sees the load reported to the other VM only every
+ * half second, as it would through heartbeats.
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { SeededRandom } from '@umberspar/base/common/random'
@@ -10,111 +11,112 @@
 import { DEFAULT_WORKER_POLICY, WorkerTable } from '@umberspar/steering/common/workers/workerTable'
 import { EventQueue } from './eventQueue.js'
 
-/** What is wrong with the first worker of the place. */
+/** How the first worker misbehaves. */
 export interface WorkerFlaw {
-  /** Multiplies its service times. */
+  /** Factor on its service times. */
   readonly slowFactor?: number
-  /** It starts cold: this multiplies its service times at first, 1 after `COLD_SPAN_MS`. */
+  /** Factor on its service times at a cold start; it decreases linearly to 1 within {@link WARM_UP_MS}. */
   readonly coldFactor?: number
-  /** What it says of its load whatever it is. */
+  /** The utilization that it reports, whatever its load. */
   readonly claims?: number
-  /** It answers every request with an error, at once. */
+  /** Whether it immediately answers every request with an error. */
   readonly fails?: boolean
 }
 
-/** How workers are chosen. */
+/** Chooses a worker for a request. */
 export type Choice = typeof chooseWorker
 
-/** What one run showed. */
-export interface ChoiceResult {
+/** The result of one simulation. */
+export interface SimulationResult {
+  /** Time from arrival to answer of each successful request, in milliseconds. */
   readonly latencies: readonly number[]
-  /** The part of all requests that the flawed worker got. */
+  /** Share of requests sent to the faulty worker, between 0 and 1. */
   readonly flawedPart: number
-  /** The part of all requests that failed. */
+  /** Share of requests that failed, between 0 and 1. */
   readonly failedPart: number
 }
 
-const ENTRIES = 2
-const WORKERS = 12
-const SLOTS = 4
-const MEAN_SPAN_MS = 10
-const SIGMA = 0.5
-const UTILIZATION = 0.6
-const COLD_SPAN_MS = 10_000
-const SHARE_SPAN_MS = 500
-const FAIL_SPAN_MS = 1
-const FLAWED = 'w0'
+const ENTRY_COUNT = 2
+const WORKER_COUNT = 12
+const SLOTS_PER_WORKER = 4
+const MEAN_SERVICE_TIME_MS = 10
+const SERVICE_TIME_SIGMA = 0.5
+const TARGET_UTILIZATION_RATIO = 0.6
+const WARM_UP_MS = 10_000
+const LOAD_REPORT_INTERVAL_MS = 500
+const FAILED_REQUEST_MS = 1
+const FAULTY_WORKER_ID = 'w0'
 
-interface SimulatedWorker {
-  readonly flaw: WorkerFlaw
+interface WorkerSimulation {
+  readonly fault: WorkerFlaw
   inFlight: number
 }
 
 interface RunningRequest {
   readonly entry: number
   readonly workerId: string
-  readonly worker: SimulatedWorker
+  readonly worker: WorkerSimulation
   readonly arrivedAt: Instant
   readonly startedAt: Instant
 }
 
-/** One run of one choice against one flaw. */
+/** Simulates one way to choose workers with one worker fault. */
 export class ChoiceBench {
   private readonly events = new EventQueue()
   private readonly random: SeededRandom
-  private readonly workers = new Map<string, SimulatedWorker>()
-  private readonly tables: WorkerTable[] = []
-  private readonly waiting: Instant[][] = []
-  private readonly latest = new Map<string, LoadReport>()
+  private readonly workersById = new Map<string, WorkerSimulation>()
+  private readonly workerTableByEntry: WorkerTable[] = []
+  private readonly waitingArrivalsByEntry: Instant[][] = []
+  private readonly latestReportByWorker = new Map<string, LoadReport>()
   private readonly latencies: number[] = []
-  private flawed = 0
-  private failed = 0
+  private faultyWorkerRequestCount = 0
+  private failedCount = 0
 
   /**
-   * @param choice how to choose
-   * @param flaw what is wrong with the first worker
-   * @param seed of arrivals, service times and choices
+   * @param chooser chooses the worker of each request
+   * @param fault how the first worker misbehaves
+   * @param seed random seed of arrivals, service times and choices
    */
-  constructor (private readonly choice: Choice, flaw: WorkerFlaw, seed: number) {
+  constructor (private readonly chooser: Choice, fault: WorkerFlaw, seed: number) {
     this.random = new SeededRandom(seed)
-    for (let index = 0; index < WORKERS; index++) this.workers.set(`w${index}`, { flaw: index === 0 ? flaw : {}, inFlight: 0 })
-    const known = new Map([...this.workers.keys()].map((id) => [id, { address: id, slots: SLOTS / ENTRIES }]))
-    for (let entry = 0; entry < ENTRIES; entry++) {
-      const table = new WorkerTable({ ...DEFAULT_WORKER_POLICY, warmUpSpanMs: COLD_SPAN_MS })
-      table.updateWorkers(known, 0)
-      if (flaw.coldFactor !== undefined) table.markStarted(FLAWED, 0)
-      this.tables.push(table)
-      this.waiting.push([])
+    for (let index = 0; index < WORKER_COUNT; index++) this.workersById.set(`w${index}`, { fault: index === 0 ? fault : {}, inFlight: 0 })
+    const knownWorkers = new Map([...this.workersById.keys()].map((id) => [id, { address: id, slots: SLOTS_PER_WORKER / ENTRY_COUNT }]))
+    for (let entry = 0; entry < ENTRY_COUNT; entry++) {
+      const table = new WorkerTable({ ...DEFAULT_WORKER_POLICY, warmUpSpanMs: WARM_UP_MS })
+      table.updateWorkers(knownWorkers, 0)
+      if (fault.coldFactor !== undefined) table.markStarted(FAULTY_WORKER_ID, 0)
+      this.workerTableByEntry.push(table)
+      this.waitingArrivalsByEntry.push([])
     }
   }
 
   /**
-   * @param spanMs simulated time
-   * @returns what callers saw
+   * @param durationMs simulated time to run
+   * @returns latencies and failures as callers see them
    */
-  run (spanMs: number): ChoiceResult {
-    for (let entry = 0; entry < ENTRIES; entry++) this.scheduleArrival(entry)
-    this.scheduleSharing()
-    this.events.runUntil(spanMs)
-    const total = this.latencies.length + this.failed
-    return { latencies: this.latencies, flawedPart: this.flawed / total, failedPart: this.failed / total }
+  run (durationMs: number): SimulationResult {
+    for (let entry = 0; entry < ENTRY_COUNT; entry++) this.scheduleArrival(entry)
+    this.scheduleLoadReports()
+    this.events.runUntil(durationMs)
+    const completedCount = this.latencies.length + this.failedCount
+    return { latencies: this.latencies, flawedPart: this.faultyWorkerRequestCount / completedCount, failedPart: this.failedCount / completedCount }
   }
 
   private scheduleArrival (entry: number): void {
-    const perMs = UTILIZATION * WORKERS * SLOTS / MEAN_SPAN_MS / ENTRIES
-    const at = this.events.now() - Math.log(1 - this.random.next()) / perMs
+    const arrivalsPerMs = TARGET_UTILIZATION_RATIO * WORKER_COUNT * SLOTS_PER_WORKER / MEAN_SERVICE_TIME_MS / ENTRY_COUNT
+    const at = this.events.now() - Math.log(1 - this.random.next()) / arrivalsPerMs
     this.events.schedule(at, () => {
-      this.waiting[entry]!.push(this.events.now())
+      this.waitingArrivalsByEntry[entry]!.push(this.events.now())
       this.startWaiting(entry)
       this.scheduleArrival(entry)
     })
   }
 
   private startWaiting (entry: number): void {
-    const queue = this.waiting[entry]!
-    const table = this.tables[entry]!
+    const queue = this.waitingArrivalsByEntry[entry]!
+    const table = this.workerTableByEntry[entry]!
     while (queue.length > 0) {
-      const workerId = this.choice(table.list(), this.events.now(), this.random)
+      const workerId = this.chooser(table.list(), this.events.now(), this.random)
       if (workerId === undefined || !table.reserve(workerId)) return
       this.startRequest(entry, workerId, queue.shift()!)
     }
@@ -122,23 +124,23 @@
 
   private startRequest (entry: number, workerId: string, arrivedAt: Instant): void {
     const startedAt = this.events.now()
-    const worker = this.workers.get(workerId)!
+    const worker = this.workersById.get(workerId)!
     worker.inFlight++
-    if (workerId === FLAWED) this.flawed++
-    const endsAt = this.events.now() + this.computeServiceSpan(worker.flaw)
+    if (workerId === FAULTY_WORKER_ID) this.faultyWorkerRequestCount++
+    const endsAt = this.events.now() + this.computeServiceMs(worker.fault)
     this.events.schedule(endsAt, () => this.finishRequest({ entry, workerId, worker, arrivedAt, startedAt }))
   }
 
   private finishRequest ({ entry, workerId, worker, arrivedAt, startedAt }: RunningRequest): void {
     const now = this.events.now()
-    const table = this.tables[entry]!
-    const report = { utilization: worker.flaw.claims ?? worker.inFlight / SLOTS, takenAt: now }
+    const table = this.workerTableByEntry[entry]!
+    const report = { utilization: worker.fault.claims ?? worker.inFlight / SLOTS_PER_WORKER, takenAt: now }
     worker.inFlight--
-    this.latest.set(workerId, report)
+    this.latestReportByWorker.set(workerId, report)
     table.observeLoad(workerId, report)
-    if (worker.flaw.fails === true) {
+    if (worker.fault.fails === true) {
       table.observeFailure(workerId, now)
-      this.failed++
+      this.failedCount++
     } else {
       table.observeAnswer(workerId, now)
       table.observeAnswerTime(workerId, now - startedAt, now)
@@ -148,20 +150,20 @@
     this.startWaiting(entry)
   }
 
-  private scheduleSharing (): void {
-    this.events.schedule(this.events.now() + SHARE_SPAN_MS, () => {
-      for (const [workerId, report] of this.latest) {
-        for (const table of this.tables) table.observeLoad(workerId, report)
+  private scheduleLoadReports (): void {
+    this.events.schedule(this.events.now() + LOAD_REPORT_INTERVAL_MS, () => {
+      for (const [workerId, report] of this.latestReportByWorker) {
+        for (const table of this.workerTableByEntry) table.observeLoad(workerId, report)
       }
-      this.scheduleSharing()
+      this.scheduleLoadReports()
     })
   }
 
-  private computeServiceSpan ({ slowFactor = 1, coldFactor = 1, fails }: WorkerFlaw): number {
-    if (fails === true) return FAIL_SPAN_MS
-    const normal = Math.sqrt(-2 * Math.log(1 - this.random.next())) * Math.cos(2 * Math.PI * this.random.next())
-    const warmth = Math.min(1, this.events.now() / COLD_SPAN_MS)
-    const factor = slowFactor * (coldFactor - (coldFactor - 1) * warmth)
-    return MEAN_SPAN_MS * factor * Math.exp(SIGMA * normal - SIGMA * SIGMA / 2)
+  private computeServiceMs ({ slowFactor = 1, coldFactor = 1, fails }: WorkerFlaw): number {
+    if (fails === true) return FAILED_REQUEST_MS
+    const standardNormal = Math.sqrt(-2 * Math.log(1 - this.random.next())) * Math.cos(2 * Math.PI * this.random.next())
+    const warmUpProgress = Math.min(1, this.events.now() / WARM_UP_MS)
+    const factor = slowFactor * (coldFactor - (coldFactor - 1) * warmUpProgress)
+    return MEAN_SERVICE_TIME_MS * factor * Math.exp(SERVICE_TIME_SIGMA * standardNormal - SERVICE_TIME_SIGMA * SERVICE_TIME_SIGMA / 2)
   }
 }
--- a/packages/testing/src/common/choice/eventQueue.ts
+++ b/packages/testing/src/common/choice/eventQueue.ts
@@ -1,24 +1,24 @@
-/** Events of simulated time in the order of their instants: a binary heap. */
+/** A queue of events in simulated time, as a binary heap ordered by time. */
 import type { Instant } from '@umberspar/base/common/clock'
 
-interface QueuedEvent {
+interface ScheduledEvent {
   readonly at: Instant
   readonly run: () => void
 }
 
-/** Runs events in order; an event may add others. */
+/** Runs scheduled events in order of time; an event may schedule others. */
 export class EventQueue {
-  private readonly heap: QueuedEvent[] = []
-  private current: Instant = 0
+  private readonly heap: ScheduledEvent[] = []
+  private currentInstant: Instant = 0
 
-  /** @returns the instant of the event that runs */
+  /** @returns the current simulated time: the instant of the event that is running */
   now (): Instant {
-    return this.current
+    return this.currentInstant
   }
 
   /**
-   * @param at when, not before the present
-   * @param run what happens then
+   * @param at the instant at which to run the event, not earlier than now
+   * @param run runs the event
    */
   schedule (at: Instant, run: () => void): void {
     const { heap } = this
@@ -31,12 +31,15 @@
     }
   }
 
-  /** Runs everything that happens before an instant. */
+  /**
+   * Runs all events scheduled before an instant.
+   * @param end the instant, exclusive
+   */
   runUntil (end: Instant): void {
-    for (let first = this.heap[0]; first !== undefined && first.at < end; first = this.heap[0]) {
+    for (let next = this.heap[0]; next !== undefined && next.at < end; next = this.heap[0]) {
       this.removeFirst()
-      this.current = first.at
-      first.run()
+      this.currentInstant = next.at
+      next.run()
     }
   }
 
@@ -49,18 +52,18 @@
     for (;;) {
       const left = 2 * index + 1
       const right = left + 1
-      let least = index
-      if (left < heap.length && heap[left]!.at < heap[least]!.at) least = left
-      if (right < heap.length && heap[right]!.at < heap[least]!.at) least = right
-      if (least === index) return
-      this.exchange(index, least)
-      index = least
+      let smallest = index
+      if (left < heap.length && heap[left]!.at < heap[smallest]!.at) smallest = left
+      if (right < heap.length && heap[right]!.at < heap[smallest]!.at) smallest = right
+      if (smallest === index) return
+      this.exchange(index, smallest)
+      index = smallest
     }
   }
 
-  private exchange (one: number, other: number): void {
-    const held = this.heap[one]!
-    this.heap[one] = this.heap[other]!
-    this.heap[other] = held
+  private exchange (oneIndex: number, otherIndex: number): void {
+    const oneEvent = this.heap[oneIndex]!
+    this.heap[oneIndex] = this.heap[otherIndex]!
+    this.heap[otherIndex] = oneEvent
   }
 }
