--- a/packages/testing/src/common/policy/modelPolicies.ts
+++ b/packages/testing/src/common/policy/modelPolicies.ts
@@ -1,47 +1,47 @@
-/** Ways to decide, side by side: the product's own, simpler ones, and the product's with one mechanism taken out. */
+/** The steering policies to compare: the product's, simpler ones, and the product's without one of its mechanisms. */
 import { shouldOffer } from '@umberspar/steering/common/entry/admission'
 import { chooseUpstream, estimateChoice } from '@umberspar/steering/common/entry/chooseUpstream'
 import { computeRetry } from '@umberspar/steering/common/entry/comeBack'
 import { HandState } from '@umberspar/steering/common/entry/handChance'
-import type { Chooser, ModelPolicy } from './policyModel.js'
+import type { UpstreamChooser, SteeringPolicy } from './policyModel.js'
 
-/** A policy's name on the command line. */
+/** The names of policies on the command line. */
 export enum PolicyName {
-  /** What the product does. */
-  Today = 'today',
-  /** The first worker of the object's ranking, whatever its load. */
-  ByKey = 'by-key',
-  /** The worker with the fewest requests, whatever it has at hand. */
+  /** The product's policy. */
+  Current = 'today',
+  /** Always the first worker in the object's ranking, whatever its load. */
+  FirstRanked = 'by-key',
+  /** The worker with the fewest requests per slot, whatever it has cached. */
   LeastLoaded = 'least-loaded',
-  /** The product's, but what a VM does not remember counts as not at hand. */
-  OwnMemory = 'own-memory',
-  /** The product's, but nothing is refused for being late. */
-  OfferAll = 'offer-all'
+  /** The product's policy, but an object counts as cached only if the VM remembers it. */
+  LocalCacheKnowledge = 'own-memory',
+  /** The product's policy, but requests are admitted even if their answers would be late. */
+  AdmitAll = 'offer-all'
 }
 
 const BYTE_COSTS = { otherDomain: 0.004, otherRegion: 0.013 }
 
-const chooseByWorth: Chooser = (candidates, need) => chooseUpstream(candidates, need, BYTE_COSTS)
+const chooseByWorth: UpstreamChooser = (candidates, need) => chooseUpstream(candidates, need, BYTE_COSTS)
 
-const chooseByKey: Chooser = (candidates, need) => candidates.length === 0 ? undefined : estimateChoice(candidates[0]!, need, BYTE_COSTS)
+const chooseFirstRanked: UpstreamChooser = (candidates, need) => candidates.length === 0 ? undefined : estimateChoice(candidates[0]!, need, BYTE_COSTS)
 
-const chooseLeastLoaded: Chooser = (candidates, need) => {
-  const held = candidates.map(({ tracker }) => tracker.countHeld(need.now) / tracker.entry.slots)
-  const best = held.indexOf(Math.min(...held))
-  return best < 0 ? undefined : estimateChoice(candidates[best]!, need, BYTE_COSTS)
+const chooseLeastLoaded: UpstreamChooser = (candidates, need) => {
+  const loads = candidates.map(({ tracker }) => tracker.countHeld(need.now) / tracker.entry.slots)
+  const bestIndex = loads.indexOf(Math.min(...loads))
+  return bestIndex < 0 ? undefined : estimateChoice(candidates[bestIndex]!, need, BYTE_COSTS)
 }
 
-const chooseByOwnMemory: Chooser = (candidates, need) => {
+const chooseByLocalCacheKnowledge: UpstreamChooser = (candidates, need) => {
   return chooseByWorth(candidates.map((candidate) => ({ ...candidate, handChance: candidate.hand === HandState.Remembered ? 1 : 0 })), need)
 }
 
-const TODAY: ModelPolicy = { choose: chooseByWorth, shouldOffer, computeRetry }
+const CURRENT_POLICY: SteeringPolicy = { choose: chooseByWorth, shouldOffer, computeRetry }
 
 /** All policies. */
-export const POLICIES: Readonly<Record<PolicyName, ModelPolicy>> = {
-  [PolicyName.Today]: TODAY,
-  [PolicyName.ByKey]: { ...TODAY, choose: chooseByKey },
-  [PolicyName.LeastLoaded]: { ...TODAY, choose: chooseLeastLoaded },
-  [PolicyName.OwnMemory]: { ...TODAY, choose: chooseByOwnMemory },
-  [PolicyName.OfferAll]: { ...TODAY, shouldOffer: () => true }
+export const POLICIES: Readonly<Record<PolicyName, SteeringPolicy>> = {
+  [PolicyName.Current]: CURRENT_POLICY,
+  [PolicyName.FirstRanked]: { ...CURRENT_POLICY, choose: chooseFirstRanked },
+  [PolicyName.LeastLoaded]: { ...CURRENT_POLICY, choose: chooseLeastLoaded },
+  [PolicyName.LocalCacheKnowledge]: { ...CURRENT_POLICY, choose: chooseByLocalCacheKnowledge },
+  [PolicyName.AdmitAll]: { ...CURRENT_POLICY, shouldOffer: () => true }
 }
