--- a/packages/testing/test/common/dedup/claims.test.ts
+++ b/packages/testing/test/common/dedup/claims.test.ts
@@ -1,4 +1,4 @@
-/** Claims of Idempotency-Keys over a store that loses, delays and refuses calls, in every order. */
+/** Tests claims of Idempotency-Keys with a store that loses, delays and rejects calls, in any order. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
@@ -8,215 +8,218 @@
 import { StoreCallBudget } from '@umberspar/steering/common/dedup/storeCallBudget'
 import { Outcome } from '@umberspar/steering/common/state/outcome'
 import { ManualClock } from '@umberspar/base/common/manualClock'
-import { CallFate, MemoryStore } from './memoryStore.js'
+import { CallOutcome, MemoryStore } from './memoryStore.js'
 
 const SEED = 417
-const REQUEST_SPAN_MS = 2_000
-const LONG_AFTER_MS = 60_000
+const REQUEST_TIMEOUT_MS = 2_000
+const SETTLE_MS = 60_000
 const FINGERPRINT = 'POST /assign'
 
-/** What one arrival of the key does once it may run. */
-enum Fate {
-  /** An upstream runs it and answers. */
+/** The simulated result of a request after it has claimed the key. */
+enum SimulatedResult {
+  /** An upstream runs the request and answers. */
   Runs = 'runs',
-  /** It runs, and its answer is lost. */
+  /** The request runs, but its answer is lost. */
   AnswerLost = 'answer-lost',
-  /** Every upstream refuses it. */
+  /** All upstreams refuse the request. */
   Refused = 'refused',
-  /** It runs, and the node dies before it can tell. */
-  NodeDies = 'node-dies'
+  /** The request runs, but the node fails before it can record the outcome. */
+  NodeFails = 'node-dies'
 }
 
-const OUTCOME_BY_FATE: Readonly<Record<Fate, Outcome | undefined>> = {
-  [Fate.Runs]: Outcome.Done,
-  [Fate.AnswerLost]: Outcome.Unknown,
-  [Fate.Refused]: Outcome.NotRun,
-  [Fate.NodeDies]: undefined
+const OUTCOME_BY_RESULT: Readonly<Record<SimulatedResult, Outcome | undefined>> = {
+  [SimulatedResult.Runs]: Outcome.Done,
+  [SimulatedResult.AnswerLost]: Outcome.Unknown,
+  [SimulatedResult.Refused]: Outcome.NotRun,
+  [SimulatedResult.NodeFails]: undefined
 }
 
-interface Node {
+interface ClusterNode {
   readonly keeper: ClaimKeeper
-  isAlive: boolean
+  isRunning: boolean
 }
 
-/** Several nodes with one store; arrivals of one key at any of them. */
+/** Several nodes that share a store and receive requests with the same key. */
 class Cluster {
   readonly clock = new ManualClock()
   readonly answers: ClaimAnswer[] = []
-  readonly fates: Fate[] = []
-  /** Whether the store had the release when the caller was told `not-run`, by claim id. */
-  readonly releases = new Map<string, boolean>()
+  readonly claimedResults: SimulatedResult[] = []
+  /** Whether the claim was released in the store when the caller was told `not-run`, by claim id. */
+  readonly isReleasedByClaimId = new Map<string, boolean>()
   readonly store: MemoryStore
-  private readonly nodes: Node[]
-  private arrivals = 0
+  private readonly nodes: ClusterNode[]
+  private arrivalCount = 0
 
-  constructor (count: number, waitTurn: () => Promise<void>, takeFate: () => CallFate) {
-    this.store = new MemoryStore(waitTurn, takeFate)
-    this.nodes = Array.from({ length: count }, (_, index) => this.createNode(index))
+  constructor (nodeCount: number, waitForTurn: () => Promise<void>, takeCallOutcome: () => CallOutcome) {
+    this.store = new MemoryStore(waitForTurn, takeCallOutcome)
+    this.nodes = Array.from({ length: nodeCount }, (_, index) => this.createNode(index))
   }
 
-  get runs (): number {
-    return this.fates.filter((fate) => fate !== Fate.Refused).length
+  get runCount (): number {
+    return this.claimedResults.filter((result) => result !== SimulatedResult.Refused).length
   }
 
-  async acceptArrival (nodeIndex: number, fate: Fate, fingerprint = FINGERPRINT): Promise<ClaimAnswer | undefined> {
+  async acceptArrival (nodeIndex: number, result: SimulatedResult, fingerprint = FINGERPRINT): Promise<ClaimAnswer | undefined> {
     const node = this.nodes[nodeIndex % this.nodes.length]!
-    if (!node.isAlive) return undefined
-    const deadline = this.clock.now() + REQUEST_SPAN_MS
-    const answer = await node.keeper.claim({ service: 'escort-svc', keyHash: 'k', fingerprint, claimId: `c${this.arrivals++}`, deadline })
+    if (!node.isRunning) return undefined
+    const deadline = this.clock.now() + REQUEST_TIMEOUT_MS
+    const answer = await node.keeper.claim({ service: 'escort-svc', keyHash: 'k', fingerprint, claimId: `c${this.arrivalCount++}`, deadline })
     this.answers.push(answer)
-    // A node that died while it claimed sends nothing any more.
-    if (answer.kind !== ClaimAnswerKind.Claimed || !node.isAlive) return answer
-    this.fates.push(fate)
-    const outcome = OUTCOME_BY_FATE[fate]
+    // A node that failed during the claim does not send the request.
+    if (answer.kind !== ClaimAnswerKind.Claimed || !node.isRunning) return answer
+    this.claimedResults.push(result)
+    const outcome = OUTCOME_BY_RESULT[result]
     if (outcome === undefined) this.stopNode(node)
-    else if (outcome === Outcome.NotRun) this.releases.set(answer.claim.record.claimId, await node.keeper.release(answer.claim, deadline))
+    else if (outcome === Outcome.NotRun) this.isReleasedByClaimId.set(answer.claim.record.claimId, await node.keeper.release(answer.claim, deadline))
     else node.keeper.finish(answer.claim, outcome, 200)
     return answer
   }
 
-  /** Lets all ends reach the store, its faults being over. */
+  /** Waits until all outcomes are recorded in the store, which must work again. */
   async settle (): Promise<void> {
-    for (let round = 0; round < 5; round++) await this.clock.runFor(LONG_AFTER_MS)
+    for (let round = 0; round < 5; round++) await this.clock.runFor(SETTLE_MS)
   }
 
-  /** A new node, as after a replacement of the VM. */
+  /**
+   * Adds a new node, as when a VM is replaced.
+   * @returns the index of the node
+   */
   addNode (): number {
     return this.nodes.push(this.createNode(this.nodes.length)) - 1
   }
 
-  private stopNode (node: Node): void {
-    node.isAlive = false
+  private stopNode (node: ClusterNode): void {
+    node.isRunning = false
     node.keeper.close()
   }
 
-  private createNode (index: number): Node {
+  private createNode (index: number): ClusterNode {
     const { store, clock } = this
-    const calls = new StoreCallBudget(clock, () => 1, 1000)
-    const keeper = new ClaimKeeper({ store, clock, random: new SeededRandom(index + 1), calls, keyPrefix: '/t/', nodeId: `n${index}`, incarnation: index, onCall: () => {} })
-    return { keeper, isAlive: true }
+    const callBudget = new StoreCallBudget(clock, () => 1, 1000)
+    const keeper = new ClaimKeeper({ store, clock, random: new SeededRandom(index + 1), calls: callBudget, keyPrefix: '/t/', nodeId: `n${index}`, incarnation: index, onCall: () => {} })
+    return { keeper, isRunning: true }
   }
 }
 
-const arrivals = fc.array(fc.tuple(fc.nat(2), fc.constantFrom(...Object.values(Fate)), fc.nat(3000)), { minLength: 2, maxLength: 8 })
-const faults = fc.array(fc.constantFrom(CallFate.Works, CallFate.Works, ...Object.values(CallFate)), { maxLength: 30 })
+const arrivalsArbitrary = fc.array(fc.tuple(fc.nat(2), fc.constantFrom(...Object.values(SimulatedResult)), fc.nat(3000)), { minLength: 2, maxLength: 8 })
+const callOutcomesArbitrary = fc.array(fc.constantFrom(CallOutcome.Succeeds, CallOutcome.Succeeds, ...Object.values(CallOutcome)), { maxLength: 30 })
 
-/** Whether the arrival's caller was told that it may repeat at once. */
-function isToldFree (cluster: Cluster, answer: ClaimAnswer): boolean {
-  if (answer.kind === ClaimAnswerKind.Claimed) return cluster.releases.get(answer.claim.record.claimId) === true
+/** @returns whether the caller was told that it may retry immediately */
+function mayRetryImmediately (cluster: Cluster, answer: ClaimAnswer): boolean {
+  if (answer.kind === ClaimAnswerKind.Claimed) return cluster.isReleasedByClaimId.get(answer.claim.record.claimId) === true
   return answer.kind === ClaimAnswerKind.StoreUnavailable && answer.isReleased
 }
 
-function waitNoTurn (): Promise<void> {
+function returnImmediately (): Promise<void> {
   return Promise.resolve()
 }
 
 describe('claims of an Idempotency-Key', () => {
-  // A guardian's payment is sent again with the same key, to the same or another
-  // entry VM, while the first still runs, after it ended, after its node died, and
-  // with the store losing answers and applying writes late. It must not run twice,
-  // and whoever is told that it ran, or did not, must be told the truth.
-  it('lets the request run at most once and tells the truth of it, in every order', async () => {
-    await fc.assert(fc.asyncProperty(fc.scheduler(), arrivals, faults, async (scheduler, script, fates) => {
-      const left = [...fates]
-      const cluster = new Cluster(3, () => scheduler.schedule(Promise.resolve()), () => left.shift() ?? CallFate.Works)
-      const work: Array<Promise<unknown>> = []
-      for (const [node, fate, pauseMs] of script) {
-        work.push(cluster.acceptArrival(node, fate))
-        if (pauseMs % 2 === 0) await scheduler.waitIdle()
-        if (pauseMs % 3 === 0) await cluster.clock.runFor(pauseMs)
+  // A payment is retried with the same key at the same or another entry VM, while the
+  // first attempt is running, after it has ended or after its node has failed. The store
+  // loses answers and applies writes late. The payment must not run twice, and a caller
+  // who is told that it ran, or that it did not run, must be told correctly.
+  it('let the request run at most once and report its outcome correctly, in any order', async () => {
+    await fc.assert(fc.asyncProperty(fc.scheduler(), arrivalsArbitrary, callOutcomesArbitrary, async (scheduler, arrivals, callOutcomes) => {
+      const remainingOutcomes = [...callOutcomes]
+      const cluster = new Cluster(3, () => scheduler.schedule(Promise.resolve()), () => remainingOutcomes.shift() ?? CallOutcome.Succeeds)
+      const pendingArrivals: Array<Promise<unknown>> = []
+      for (const [nodeIndex, result, delayMs] of arrivals) {
+        pendingArrivals.push(cluster.acceptArrival(nodeIndex, result))
+        if (delayMs % 2 === 0) await scheduler.waitIdle()
+        if (delayMs % 3 === 0) await cluster.clock.runFor(delayMs)
       }
       await scheduler.waitIdle()
-      await Promise.all(work)
-      assert.ok(cluster.runs <= 1, `ran ${cluster.runs} times: ${cluster.fates.join(' ')}`)
+      await Promise.all(pendingArrivals)
+      assert.ok(cluster.runCount <= 1, `ran ${cluster.runCount} times: ${cluster.claimedResults.join(' ')}`)
       for (const answer of cluster.answers) {
-        if (answer.kind === ClaimAnswerKind.Refused && answer.decision === ClaimDecision.AlreadyRan) assert.ok(cluster.fates.includes(Fate.Runs))
+        if (answer.kind === ClaimAnswerKind.Refused && answer.decision === ClaimDecision.AlreadyRan) assert.ok(cluster.claimedResults.includes(SimulatedResult.Runs))
       }
     }), { seed: SEED, numRuns: 1500 })
   })
 
-  // All store calls work again and every end is written: a repetition of what did
-  // not run must be let through, and one of what ran must be told so for ever.
-  it('ends with the truth in the store', async () => {
-    await fc.assert(fc.asyncProperty(arrivals, faults, async (script, fates) => {
-      const left = [...fates]
-      const cluster = new Cluster(3, waitNoTurn, () => left.shift() ?? CallFate.Works)
-      for (const [node, fate, pauseMs] of script) {
-        await cluster.acceptArrival(node, fate)
-        await cluster.clock.runFor(pauseMs)
+  // Once all store calls work again and all outcomes are recorded, a retry of a request
+  // that did not run must be allowed, and a retry of one that ran must always be refused.
+  it('leave the correct outcome in the store', async () => {
+    await fc.assert(fc.asyncProperty(arrivalsArbitrary, callOutcomesArbitrary, async (arrivals, callOutcomes) => {
+      const remainingOutcomes = [...callOutcomes]
+      const cluster = new Cluster(3, returnImmediately, () => remainingOutcomes.shift() ?? CallOutcome.Succeeds)
+      for (const [nodeIndex, result, delayMs] of arrivals) {
+        await cluster.acceptArrival(nodeIndex, result)
+        await cluster.clock.runFor(delayMs)
       }
-      left.length = 0
+      remainingOutcomes.length = 0
       await cluster.settle()
-      const ran = cluster.runs
-      const last = await cluster.acceptArrival(cluster.addNode(), Fate.Runs)
-      assert.equal(last?.kind, ran > 0 ? ClaimAnswerKind.Refused : ClaimAnswerKind.Claimed)
-      if (cluster.fates[0] === Fate.Runs && ran === 1 && last?.kind === ClaimAnswerKind.Refused) assert.equal(last.decision, ClaimDecision.AlreadyRan)
-      assert.ok(cluster.runs <= 1)
+      const runCountBefore = cluster.runCount
+      const lastAnswer = await cluster.acceptArrival(cluster.addNode(), SimulatedResult.Runs)
+      assert.equal(lastAnswer?.kind, runCountBefore > 0 ? ClaimAnswerKind.Refused : ClaimAnswerKind.Claimed)
+      if (cluster.claimedResults[0] === SimulatedResult.Runs && runCountBefore === 1 && lastAnswer?.kind === ClaimAnswerKind.Refused) assert.equal(lastAnswer.decision, ClaimDecision.AlreadyRan)
+      assert.ok(cluster.runCount <= 1)
     }), { seed: SEED, numRuns: 500 })
   })
 
-  // Workers refuse a payment at one entry VM, then at the next, and its caller sends
-  // it again the moment it is told `not-run`, while the store loses and delays calls.
-  // Its key still stood as running where the repetition arrived, and the caller was
-  // told `unknown` of what never ran. Free at once must mean free at once.
-  it('lets a repetition run at once wherever not-run was told without a wait', async () => {
-    let freed = 0
-    const nodes = fc.array(fc.nat(2), { minLength: 2, maxLength: 6 })
-    await fc.assert(fc.asyncProperty(fc.scheduler(), nodes, faults, async (scheduler, script, fates) => {
-      const left = [...fates]
-      const cluster = new Cluster(3, () => scheduler.schedule(Promise.resolve()), () => left.shift() ?? CallFate.Works)
-      let isFree = true
-      for (const node of script) {
-        const answer = await scheduler.waitFor(cluster.acceptArrival(node, Fate.Refused))
+  // Workers refuse a payment at several entry VMs in turn, and the caller retries as soon
+  // as it is told `not-run`, while the store loses and delays calls. The key was still
+  // recorded as running where the retry arrived, so that the caller was told `unknown` for
+  // a payment that never ran. A caller told to retry immediately must find the key released.
+  it('let a retry run immediately if the caller was told not-run without a delay', async () => {
+    let releasedCount = 0
+    const nodeIndexesArbitrary = fc.array(fc.nat(2), { minLength: 2, maxLength: 6 })
+    await fc.assert(fc.asyncProperty(fc.scheduler(), nodeIndexesArbitrary, callOutcomesArbitrary, async (scheduler, nodeIndexes, callOutcomes) => {
+      const remainingOutcomes = [...callOutcomes]
+      const cluster = new Cluster(3, () => scheduler.schedule(Promise.resolve()), () => remainingOutcomes.shift() ?? CallOutcome.Succeeds)
+      let isReleased = true
+      for (const nodeIndex of nodeIndexes) {
+        const answer = await scheduler.waitFor(cluster.acceptArrival(nodeIndex, SimulatedResult.Refused))
         assert.ok(answer !== undefined)
-        if (isFree) assert.notEqual(answer.kind, ClaimAnswerKind.Refused, JSON.stringify(answer))
-        // A repetition before its Retry-After may fail at the store without having freed the key.
-        isFree = isToldFree(cluster, answer) && (isFree || answer.kind === ClaimAnswerKind.Claimed)
-        if (isFree) freed++
-        if (fates.length === 0) assert.ok(isFree)
+        if (isReleased) assert.notEqual(answer.kind, ClaimAnswerKind.Refused, JSON.stringify(answer))
+        // A retry before its Retry-After may fail at the store without releasing the key.
+        isReleased = mayRetryImmediately(cluster, answer) && (isReleased || answer.kind === ClaimAnswerKind.Claimed)
+        if (isReleased) releasedCount++
+        if (callOutcomes.length === 0) assert.ok(isReleased)
       }
       await scheduler.waitIdle()
     }), { seed: SEED, numRuns: 1000 })
-    assert.ok(freed > 1000, String(freed))
+    assert.ok(releasedCount > 1000, String(releasedCount))
   })
 
-  it('tells a second arrival what became of the first', async () => {
-    const cluster = new Cluster(2, waitNoTurn, () => CallFate.Works)
-    const expectDecision = async (decision: ClaimDecision, node: number): Promise<void> => {
-      const answer = await cluster.acceptArrival(node, Fate.Runs)
+  it('report the outcome of the first request to the second', async () => {
+    const cluster = new Cluster(2, returnImmediately, () => CallOutcome.Succeeds)
+    const expectDecision = async (decision: ClaimDecision, nodeIndex: number): Promise<void> => {
+      const answer = await cluster.acceptArrival(nodeIndex, SimulatedResult.Runs)
       assert.ok(answer?.kind === ClaimAnswerKind.Refused && answer.decision === decision, JSON.stringify(answer))
     }
-    assert.equal((await cluster.acceptArrival(0, Fate.Refused))?.kind, ClaimAnswerKind.Claimed)
-    assert.equal((await cluster.acceptArrival(1, Fate.NodeDies))?.kind, ClaimAnswerKind.Claimed)
+    assert.equal((await cluster.acceptArrival(0, SimulatedResult.Refused))?.kind, ClaimAnswerKind.Claimed)
+    assert.equal((await cluster.acceptArrival(1, SimulatedResult.NodeFails))?.kind, ClaimAnswerKind.Claimed)
     await expectDecision(ClaimDecision.Running, 0)
-    await cluster.clock.runFor(LONG_AFTER_MS)
+    await cluster.clock.runFor(SETTLE_MS)
     await expectDecision(ClaimDecision.OutcomeUnknown, 0)
-    const reused = await cluster.acceptArrival(0, Fate.Runs, 'POST /cancel')
-    assert.ok(reused?.kind === ClaimAnswerKind.Refused && reused.decision === ClaimDecision.KeyReused)
+    const answerToReusedKey = await cluster.acceptArrival(0, SimulatedResult.Runs, 'POST /cancel')
+    assert.ok(answerToReusedKey?.kind === ClaimAnswerKind.Refused && answerToReusedKey.decision === ClaimDecision.KeyReused)
   })
 
-  // The store is down and a hundred payments arrive. Each would wait for its claim
-  // and keep the store busy once it is back; they are refused at once instead.
-  it('asks a store that is down once a second, not once a request', async () => {
-    const cluster = new Cluster(1, waitNoTurn, () => CallFate.Down)
+  // A hundred payments arrive while the store is down. If each waited for its claim, they
+  // would keep the store busy when it is back, so they are refused immediately.
+  it('call a store that is down once per second, not once per request', async () => {
+    const cluster = new Cluster(1, returnImmediately, () => CallOutcome.Unreachable)
     for (let arrival = 0; arrival < 100; arrival++) {
-      assert.equal((await cluster.acceptArrival(0, Fate.Runs))?.kind, ClaimAnswerKind.StoreUnavailable)
+      assert.equal((await cluster.acceptArrival(0, SimulatedResult.Runs))?.kind, ClaimAnswerKind.StoreUnavailable)
     }
-    assert.equal(cluster.store.calls, 1)
+    assert.equal(cluster.store.callCount, 1)
     await cluster.clock.runFor(1_000)
-    await cluster.acceptArrival(0, Fate.Runs)
-    assert.equal(cluster.store.calls, 2)
+    await cluster.acceptArrival(0, SimulatedResult.Runs)
+    assert.equal(cluster.store.callCount, 2)
   })
 
-  it('makes no more store calls than its part of the fleet\'s rate', () => {
+  it('make no more store calls than the node\'s share of the fleet\'s rate limit', () => {
     const clock = new ManualClock()
-    const calls = new StoreCallBudget(clock, () => 12)
-    let taken = 0
+    const callBudget = new StoreCallBudget(clock, () => 12)
+    let callCount = 0
     for (let now = 0; now <= 10_000; now += 10) {
       clock.stepTo(now)
-      while (calls.take(2)) taken += 2
+      while (callBudget.take(2)) callCount += 2
     }
-    // 240 a second over 12 nodes for 10 s, and the burst of 5 s; whole claims only.
-    assert.ok(taken <= 300 && taken > 296, String(taken))
+    // 240 calls per second divided among 12 nodes for 10 s, plus a burst of 5 s. Only complete claims are counted.
+    assert.ok(callCount <= 300 && callCount > 296, String(callCount))
   })
 })
--- a/packages/testing/test/common/dedup/memoryStore.ts
+++ b/packages/testing/test/common/dedup/memoryStore.ts
@@ -1,70 +1,70 @@
-/** An IKeyValueStore in memory whose calls can fail in every way that the port allows. */
+/** A fake IKeyValueStore in memory whose calls can fail in every way that the interface allows. */
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
 import type { GrantedLease, IKeyValueStore, IStoreWatch, StoredValue, StoreSnapshot, StoreTransaction, TransactionResult } from '@umberspar/steering/common/ports/keyValueStore'
 
-/** What becomes of one call. */
-export enum CallFate {
-  Works = 'works',
-  /** The store is out of reach: no effect, and the caller knows. */
-  Down = 'down',
-  /** The call is lost on its way: no effect, and the caller cannot know. */
-  Lost = 'lost',
-  /** It takes effect and its answer is lost. */
+/** The outcome of a call to the store. */
+export enum CallOutcome {
+  Succeeds = 'works',
+  /** The store is unreachable: the call has no effect, and the caller knows it. */
+  Unreachable = 'down',
+  /** The call is lost before it reaches the store: it has no effect, but the caller cannot know. */
+  RequestLost = 'lost',
+  /** The call takes effect, but its answer is lost. */
   AnswerLost = 'answer-lost',
-  /** Its caller is told that the answer was lost; it takes effect only later. */
-  Late = 'late'
+  /** The caller is told that the answer was lost, and the call takes effect later. */
+  AppliedLate = 'late'
 }
 
-const LEASE_SPAN_MS = 1e12
+const LEASE_DEADLINE = 1e12
 
 function createError (code: ErrorCode): StepError {
   return new StepError({ code, step: 'store', peer: 'memory', message: code })
 }
 
-/** The fake. */
+/** A fake key-value store. */
 export class MemoryStore implements IKeyValueStore {
   readonly values = new Map<string, StoredValue>()
-  calls = 0
+  callCount = 0
   private revision = 0
-  private leases = 0
+  private leaseCount = 0
 
   /**
-   * @param waitTurn settled when the next call may go on; the test's scheduler decides
-   * @param takeFate draws the fate of a call
+   * @param waitForTurn resolves when the call may continue, so that a test can control the order of calls
+   * @param takeCallOutcome returns the outcome of the next call
    */
-  constructor (private readonly waitTurn: () => Promise<void>, private readonly takeFate: () => CallFate) {}
+  constructor (private readonly waitForTurn: () => Promise<void>, private readonly takeCallOutcome: () => CallOutcome) {}
 
   async get (key: string): Promise<Result<StoredValue | undefined, StepError>> {
-    this.calls++
-    const fate = this.takeFate()
-    await this.waitTurn()
-    if (fate !== CallFate.Works) return new Err(createError(ErrorCode.Unavailable))
+    this.callCount++
+    const callOutcome = this.takeCallOutcome()
+    await this.waitForTurn()
+    if (callOutcome !== CallOutcome.Succeeds) return new Err(createError(ErrorCode.Unavailable))
     const value = this.values.get(key)
-    await this.waitTurn()
+    await this.waitForTurn()
     return new Ok(value)
   }
 
   async transact (transaction: StoreTransaction): Promise<Result<TransactionResult, StepError>> {
-    this.calls++
-    const fate = this.takeFate()
-    await this.waitTurn()
-    if (fate === CallFate.Down) return new Err(createError(ErrorCode.Unavailable))
-    if (fate === CallFate.Late) {
+    this.callCount++
+    const callOutcome = this.takeCallOutcome()
+    await this.waitForTurn()
+    if (callOutcome === CallOutcome.Unreachable) return new Err(createError(ErrorCode.Unavailable))
+    if (callOutcome === CallOutcome.AppliedLate) {
       this.applyLate(transaction)
       return new Err(createError(ErrorCode.EffectUnknown))
     }
-    const result = fate === CallFate.Lost ? undefined : this.apply(transaction)
-    await this.waitTurn()
-    return result === undefined || fate === CallFate.AnswerLost ? new Err(createError(ErrorCode.EffectUnknown)) : new Ok(result)
+    const result = callOutcome === CallOutcome.RequestLost ? undefined : this.apply(transaction)
+    await this.waitForTurn()
+    return result === undefined || callOutcome === CallOutcome.AnswerLost ? new Err(createError(ErrorCode.EffectUnknown)) : new Ok(result)
   }
 
   async openLease (): Promise<Result<GrantedLease, StepError>> {
-    this.calls++
-    const fate = this.takeFate()
-    await this.waitTurn()
-    if (fate !== CallFate.Works) return new Err(createError(ErrorCode.Unavailable))
-    return new Ok({ leaseId: String(++this.leases), deadline: LEASE_SPAN_MS })
+    this.callCount++
+    const callOutcome = this.takeCallOutcome()
+    await this.waitForTurn()
+    if (callOutcome !== CallOutcome.Succeeds) return new Err(createError(ErrorCode.Unavailable))
+    return new Ok({ leaseId: String(++this.leaseCount), deadline: LEASE_DEADLINE })
   }
 
   list (): Promise<Result<StoreSnapshot, StepError>> {
@@ -72,7 +72,7 @@
   }
 
   renewLease (leaseId: string): Promise<Result<GrantedLease, StepError>> {
-    return Promise.resolve(new Ok({ leaseId, deadline: LEASE_SPAN_MS }))
+    return Promise.resolve(new Ok({ leaseId, deadline: LEASE_DEADLINE }))
   }
 
   closeLease (): Promise<Result<void, StepError>> {
@@ -86,14 +86,14 @@
   close (): void {}
 
   private async applyLate (transaction: StoreTransaction): Promise<void> {
-    await this.waitTurn()
-    await this.waitTurn()
+    await this.waitForTurn()
+    await this.waitForTurn()
     this.apply(transaction)
   }
 
   private apply ({ conditions, writes }: StoreTransaction): TransactionResult {
-    const holds = conditions.every(({ key, modRevision }) => (this.values.get(key)?.modRevision ?? 0) === modRevision)
-    if (!holds) return { isApplied: false, revision: this.revision }
+    const areConditionsMet = conditions.every(({ key, modRevision }) => (this.values.get(key)?.modRevision ?? 0) === modRevision)
+    if (!areConditionsMet) return { isApplied: false, revision: this.revision }
     this.revision++
     for (const write of writes) {
       if (write.kind === 'put') this.values.set(write.key, { key: write.key, value: write.value, modRevision: this.revision })
