--- a/packages/testing/src/common/policy/simulatedWorker.ts
+++ b/packages/testing/src/common/policy/simulatedWorker.ts
@@ -42,6 +42,7 @@
 
 /** Service times are distributed uniformly around the mean by up to this part of it. */
 const SERVICE_TIME_SPREAD_RATIO = 0.25
+/** Refusing a request takes almost no time. */
 const REFUSAL_MS = 1
 
 /** A worker with slots, a bounded queue and an LRU cache. */
