--- a/packages/testing/test/common/history/historyChecker.test.ts
+++ b/packages/testing/test/common/history/historyChecker.test.ts
@@ -272,9 +272,9 @@
 
   it('reports the same violations in whatever order the events of the recorders are merged', () => {
     // Workers and callers record separately, so their events can be ordered only by time.
-    const planted = VIOLATION_CASES.flatMap(({ events }, index) => events().map((event) => ({ ...event, at: event.at + index * 20_000 })))
-    const expected = countViolations(checkHistory(planted))
-    const order = fc.shuffledSubarray(planted, { minLength: planted.length })
+    const eventsOfAllCases = VIOLATION_CASES.flatMap(({ events }, index) => events().map((event) => ({ ...event, at: event.at + index * 20_000 })))
+    const expected = countViolations(checkHistory(eventsOfAllCases))
+    const order = fc.shuffledSubarray(eventsOfAllCases, { minLength: eventsOfAllCases.length })
     fc.assert(fc.property(order, (shuffled) => {
       assert.deepEqual(countViolations(checkHistory(shuffled)), expected)
     }), { seed: 7, numRuns: 50 })
