--- a/packages/adapters/src/node/peers/documentChunks.ts
+++ b/packages/adapters/src/node/peers/documentChunks.ts
@@ -1,6 +1,6 @@
 /** Splits documents into chunks for the wire and reassembles them, up to a size limit. */
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
-import { PushScope, type PushRoute } from '@umberspar/steering/common/spread/pushTree'
+import { PushScope, type PushRoute } from '@umberspar/steering/common/gossip/pushTree'
 import type { PeerDocument } from '@umberspar/steering/common/ports/peers'
 import type { DocumentChunk, DocumentVersion } from '../generated/peer/peer.js'
 import { decodeVersion, encodeVersion } from './peerMessages.js'
--- a/packages/adapters/src/node/peers/peerClient.ts
+++ b/packages/adapters/src/node/peers/peerClient.ts
@@ -10,7 +10,7 @@
 import { ErrorCode, StepError, toStepError } from '@umberspar/base/common/errors'
 import type { Result } from '@umberspar/base/common/result'
 import { Err, Ok } from '@umberspar/base/common/result'
-import type { Digest, IPeerClient, LoanAnswer, LoanRequest, LoanReturn, PeerDocument } from '@umberspar/steering/common/ports/peers'
+import type { Heartbeat, IPeerClient, LoanAnswer, LoanRequest, LoanReturn, PeerDocument } from '@umberspar/steering/common/ports/peers'
 import { PeerClient as WireClient } from '../generated/peer/peer.js'
 import type { DocumentChunk, PushAnswer } from '../generated/peer/peer.js'
 import { CallEffect, callUnary, createCallOptions, createChannel, createUnsentError, INSECURE_CHANNELS, toCallError, waitForChannel } from '../grpc/grpcCalls.js'
@@ -61,7 +61,7 @@
     this.security = options.security ?? INSECURE_CHANNELS
   }
 
-  exchange (address: string, digest: Digest, deadline: Deadline): Promise<Result<Digest, StepError>> {
+  exchange (address: string, digest: Heartbeat, deadline: Deadline): Promise<Result<Heartbeat, StepError>> {
     return this.callPeer(PeerCall.Exchange, address, deadline, async (client, options, sentAt) => {
       const response = await callUnary(client.exchange.bind(client), encodeDigest(digest, sentAt), options)
       // The ages in the response count from the moment the peer sent it. Counting them
--- a/packages/adapters/src/node/peers/peerMessages.ts
+++ b/packages/adapters/src/node/peers/peerMessages.ts
@@ -3,7 +3,7 @@
 import { createDeadline, getRemainingMs } from '@umberspar/base/common/deadline'
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import type { DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
-import type { Digest, LoanAnswer, LoanRequest } from '@umberspar/steering/common/ports/peers'
+import type { Heartbeat, LoanAnswer, LoanRequest } from '@umberspar/steering/common/ports/peers'
 import type { MemberReport } from '@umberspar/steering/common/membership/memberReport'
 import type { AnnouncedState } from '@umberspar/steering/common/membership/memberFacts'
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
@@ -96,7 +96,7 @@
  * @param now the current instant, which ages count back from
  * @returns the digest's wire form
  */
-export function encodeDigest (digest: Digest, now: Instant): wire.Digest {
+export function encodeDigest (digest: Heartbeat, now: Instant): wire.Digest {
   const { confirmedAt, ...rest } = digest
   return {
     ...rest,
@@ -130,7 +130,7 @@
  * @returns the digest, with its instants on the local clock
  * @throws StepError `Invalid` if a state is unknown, or a value is negative or not a finite number
  */
-export function decodeDigest (digest: wire.Digest, now: Instant, peer: string): Digest {
+export function decodeDigest (digest: wire.Digest, now: Instant, peer: string): Heartbeat {
   checkMeasurements(digest, peer)
   const { confirmedAgeMs, ...rest } = digest
   return {
--- a/packages/adapters/src/node/store/etcdStore.ts
+++ b/packages/adapters/src/node/store/etcdStore.ts
@@ -100,7 +100,7 @@
     return written.map(({ response }) => ({ isApplied: response.succeeded, revision: Number(response.header?.revision ?? 0n) }))
   }
 
-  async openLease (ttlSeconds: number, deadline: Deadline): Promise<Result<GrantedLease, StepError>> {
+  async acquireLease (ttlSeconds: number, deadline: Deadline): Promise<Result<GrantedLease, StepError>> {
     const request = { TTL: BigInt(ttlSeconds), ID: 0n }
     const granted = await this.callWrite(StoreCall.OpenLease, deadline, (endpoint, options) =>
       callUnary(endpoint.leases.leaseGrant.bind(endpoint.leases), request, options))
@@ -113,7 +113,7 @@
     return renewed.map(buildLease)
   }
 
-  async closeLease (leaseId: string, deadline: Deadline): Promise<Result<void, StepError>> {
+  async releaseLease (leaseId: string, deadline: Deadline): Promise<Result<void, StepError>> {
     const request = { ID: BigInt(leaseId) }
     const revoked = await this.callWrite(StoreCall.CloseLease, deadline, (endpoint, options) =>
       callUnary(endpoint.leases.leaseRevoke.bind(endpoint.leases), request, options))
--- a/packages/adapters/src/node/store/etcdWatch.ts
+++ b/packages/adapters/src/node/store/etcdWatch.ts
@@ -2,7 +2,7 @@
 import type { ClientDuplexStream } from '@grpc/grpc-js'
 import { Emitter } from '@umberspar/base/common/event'
 import type { IStoreWatch, StoreChange } from '@umberspar/steering/common/ports/keyValueStore'
-import { WatchEnd } from '@umberspar/steering/common/ports/keyValueStore'
+import { WatchEndReason } from '@umberspar/steering/common/ports/keyValueStore'
 import type { WatchRequest, WatchResponse } from '../generated/etcd/rpc.js'
 import { decodeChange, encodeWatch } from './etcdMessages.js'
 
@@ -12,7 +12,7 @@
 /** Implements {@link IStoreWatch} over one gRPC stream. */
 export class EtcdWatch implements IStoreWatch {
   private readonly changeEmitter = new Emitter<StoreChange>()
-  private readonly endEmitter = new Emitter<WatchEnd>()
+  private readonly endEmitter = new Emitter<WatchEndReason>()
   private hasEnded = false
   readonly onDidChange = this.changeEmitter.event
   readonly onDidEnd = this.endEmitter.event
@@ -32,8 +32,8 @@
     stream.on('data', (response: WatchResponse) => { this.handleResponse(response) })
     // A server that shuts down ends the stream cleanly, a lost connection is an error.
     // In both cases later changes may be missed, so both end the watch.
-    stream.on('error', () => { this.endWatch(WatchEnd.Cut) })
-    stream.on('end', () => { this.endWatch(WatchEnd.Cut) })
+    stream.on('error', () => { this.endWatch(WatchEndReason.Disconnected) })
+    stream.on('end', () => { this.endWatch(WatchEndReason.Disconnected) })
     stream.write(encodeWatch(prefix, fromRevision))
   }
 
@@ -50,13 +50,13 @@
       const change = decodeChange(event)
       if (change !== undefined) this.changeEmitter.fire(change)
     }
-    if (response.canceled) this.endWatch(response.compactRevision > 0n ? WatchEnd.Compacted : WatchEnd.Cut)
+    if (response.canceled) this.endWatch(response.compactRevision > 0n ? WatchEndReason.Compacted : WatchEndReason.Disconnected)
   }
 
-  private endWatch (reason: WatchEnd): void {
+  private endWatch (reason: WatchEndReason): void {
     if (this.hasEnded) return
     this.hasEnded = true
-    this.onEnd(reason === WatchEnd.Cut)
+    this.onEnd(reason === WatchEndReason.Disconnected)
     this.endEmitter.fire(reason)
     this.stopStream()
   }
--- a/packages/adapters/src/node/tls/tlsKeeper.ts
+++ b/packages/adapters/src/node/tls/tlsCertificateProvider.ts
@@ -12,8 +12,8 @@
 type CaListener = experimental.CaCertificateUpdateListener
 type IdentityListener = experimental.IdentityCertificateUpdateListener
 
-/** Options of {@link TlsKeeper}. */
-export interface TlsKeeperOptions {
+/** Options of {@link TlsCertificateProvider}. */
+export interface TlsCertificateProviderOptions {
   /** The section's path in the settings, for example `peers.tls`. */
   readonly section: string
   readonly files: TlsFiles
@@ -27,7 +27,7 @@
  * Provides the certificates of one `tls` section. As a gRPC certificate provider, it makes
  * gRPC servers and channels use the current certificates for new connections.
  */
-export class TlsKeeper implements IClosable, experimental.CertificateProvider {
+export class TlsCertificateProvider implements IClosable, experimental.CertificateProvider {
   private readonly changeEmitter = new Emitter<TlsMaterial>()
   private readonly caListeners = new Set<CaListener>()
   private readonly identityListeners = new Set<IdentityListener>()
@@ -37,17 +37,17 @@
   /** Fires after the certificates have been replaced by renewed ones. */
   readonly onDidChange = this.changeEmitter.event
 
-  private constructor (private readonly options: TlsKeeperOptions, private material: TlsMaterial) {}
+  private constructor (private readonly options: TlsCertificateProviderOptions, private material: TlsMaterial) {}
 
   /**
    * Reads and checks the files of a section.
    * @param options section, files and other options
    * @returns a provider of the certificates, or an error if the files can't be used
    */
-  static async load (options: TlsKeeperOptions): Promise<Result<TlsKeeper, StepError>> {
+  static async load (options: TlsCertificateProviderOptions): Promise<Result<TlsCertificateProvider, StepError>> {
     const loaded = await loadTlsMaterial(options.section, options.files, options.clock.getWallTime())
     if (!loaded.ok) return loaded
-    const provider = new TlsKeeper(options, loaded.val)
+    const provider = new TlsCertificateProvider(options, loaded.val)
     provider.logMaterial('certificates loaded')
     return new Ok(provider)
   }
--- a/packages/adapters/src/node/tls/tlsOptions.ts
+++ b/packages/adapters/src/node/tls/tlsOptions.ts
@@ -2,7 +2,7 @@
 import { experimental, type ServerCredentials } from '@grpc/grpc-js'
 import { checkServerIdentity, type SecureContext } from 'node:tls'
 import type { ChannelSecurityFactory } from '../grpc/grpcCalls.js'
-import type { TlsKeeper } from './tlsKeeper.js'
+import type { TlsCertificateProvider } from './tlsCertificateProvider.js'
 
 /** Sent as server name where the server is known only by its IP address; `.invalid` is reserved by RFC 6761 and never resolves. */
 const PLACEHOLDER_SERVER_NAME = 'umberspar.invalid'
@@ -17,7 +17,7 @@
  * @param provider provides certificate, key and CA
  * @returns credentials of a gRPC server that accepts only clients with a certificate issued by the CA
  */
-export function createServerCredentials (provider: TlsKeeper): ServerCredentials {
+export function createServerCredentials (provider: TlsCertificateProvider): ServerCredentials {
   return experimental.createCertificateProviderServerCredentials(provider, provider, true)
 }
 
@@ -25,7 +25,7 @@
  * @param provider provides the CA, and certificate and key if the server requires them
  * @returns the security settings of gRPC channels; each new connection uses the current certificates
  */
-export function createChannelSecurity (provider: TlsKeeper): ChannelSecurityFactory {
+export function createChannelSecurity (provider: TlsCertificateProvider): ChannelSecurityFactory {
   const identity = provider.current.certificate === undefined ? null : provider
   return (address) => {
     const expectedName = provider.serverName ?? new URL(`https://${address}`).hostname.replace(/^\[|\]$/g, '')
@@ -42,7 +42,7 @@
  * @param provider provides the CA, and certificate and key if the worker requires them
  * @returns TLS options with the current certificates
  */
-export function buildConnectTls (provider: TlsKeeper): ConnectTls {
+export function buildConnectTls (provider: TlsCertificateProvider): ConnectTls {
   const { serverName } = provider
   const secureContext = provider.getSecureContext()
   return serverName === undefined ? { secureContext } : { secureContext, servername: serverName }
--- a/packages/adapters/src/node/upstream/attempt.ts
+++ b/packages/adapters/src/node/upstream/attempt.ts
@@ -19,7 +19,7 @@
   readonly path: string
   /** Hop-by-hop headers are removed before sending. */
   readonly headers: Record<string, string | string[]>
-  /** Not read from if the attempt fails with {@link AttemptError.mayHaveSent} false for a reason other than deadline or signal. */
+  /** Not read from if the attempt fails with {@link AttemptError.mayHaveBeenSent} false for a reason other than deadline or signal. */
   readonly body: Readable | Uint8Array | null
   /** Applies to the whole attempt, including the response body. */
   readonly deadline: Deadline
@@ -37,27 +37,27 @@
 
 /** Details of an {@link AttemptError}. */
 export interface AttemptErrorDetails extends StepErrorDetails {
-  readonly mayHaveSent: boolean
+  readonly mayHaveBeenSent: boolean
   readonly hasHeaders: boolean
   /** Defaults to false. */
-  readonly isLate?: boolean
+  readonly isDeadlinePassed?: boolean
 }
 
 /** Why an attempt failed. */
 export class AttemptError extends StepError {
   /** False only if no byte of the request can have been sent. */
-  readonly mayHaveSent: boolean
+  readonly mayHaveBeenSent: boolean
   /** Whether the response headers had been received; the error is then emitted by the body stream. */
   readonly hasHeaders: boolean
   /** Whether the deadline ended the attempt. The clock can't tell, as timers may fire a fraction of a millisecond early. */
-  readonly isLate: boolean
+  readonly isDeadlinePassed: boolean
 
   constructor (details: AttemptErrorDetails) {
     super(details)
     this.name = 'AttemptError'
-    this.mayHaveSent = details.mayHaveSent
+    this.mayHaveBeenSent = details.mayHaveBeenSent
     this.hasHeaders = details.hasHeaders
-    this.isLate = details.isLate ?? false
+    this.isDeadlinePassed = details.isDeadlinePassed ?? false
   }
 }
 
@@ -68,7 +68,7 @@
 }
 
 /** A worker's responses to a probe. */
-export interface WorkerProbe {
+export interface ProbeResult {
   /** Whether the worker responded with status 200, being ready or starting. False while it drains, so check `isDraining` first. */
   readonly isHealthy: boolean
   readonly isDraining: boolean
@@ -111,5 +111,5 @@
    * @param scope the endpoints to request
    * @returns the worker's state; an error if it does not respond or its response is invalid
    */
-  probe(address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>>
+  probe(address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<ProbeResult, StepError>>
 }
--- a/packages/adapters/src/node/upstream/attemptHandler.ts
+++ b/packages/adapters/src/node/upstream/attemptHandler.ts
@@ -146,9 +146,9 @@
       peer: this.request.address,
       message: `${this.request.workerId}: ${message}`,
       cause,
-      mayHaveSent: this.phase !== Phase.Waiting,
+      mayHaveBeenSent: this.phase !== Phase.Waiting,
       hasHeaders: this.phase === Phase.ReceivingResponse,
-      isLate: isDeadlinePassed
+      isDeadlinePassed
     })
   }
 }
--- a/packages/adapters/src/node/upstream/upstreamTransport.ts
+++ b/packages/adapters/src/node/upstream/upstreamTransport.ts
@@ -15,29 +15,29 @@
 import { ErrorCode } from '@umberspar/base/common/errors'
 import type { Result } from '@umberspar/base/common/result'
 import { Err } from '@umberspar/base/common/result'
-import type { AttemptRequest, AttemptResponse, IUpstreamTransport, WorkerLimit, WorkerProbe } from './attempt.js'
+import type { AttemptRequest, AttemptResponse, IUpstreamTransport, WorkerLimit, ProbeResult } from './attempt.js'
 import { AttemptError, type ProbeScope } from './attempt.js'
 import { ATTEMPT_STEP, AttemptHandler } from './attemptHandler.js'
-import type { TlsKeeper } from '../tls/tlsKeeper.js'
+import type { TlsCertificateProvider } from '../tls/tlsCertificateProvider.js'
 import { removeHopByHopHeaders } from './hopByHop.js'
 import { WorkerConnections } from './workerConnections.js'
 import { ProbeReader } from './workerProbe.js'
 
-export type { AttemptRequest, AttemptResponse, IUpstreamTransport, WorkerLimit, WorkerProbe } from './attempt.js'
+export type { AttemptRequest, AttemptResponse, IUpstreamTransport, WorkerLimit, ProbeResult } from './attempt.js'
 export { AttemptError, ProbeScope } from './attempt.js'
 
 /** Options of {@link UndiciTransport}. */
 export interface UndiciTransportOptions {
   readonly clock: IClock
   /** CA and client certificate for connections to workers; without it they are plain text. */
-  readonly tls?: TlsKeeper | undefined
+  readonly tls?: TlsCertificateProvider | undefined
 }
 
 /** Implements {@link IUpstreamTransport} with undici over HTTP/1.1, with one request at a time per connection. */
 export class UndiciTransport implements IUpstreamTransport {
   private readonly workers = new Map<string, WorkerConnections>()
   private readonly clock: IClock
-  private readonly tls: TlsKeeper | undefined
+  private readonly tls: TlsCertificateProvider | undefined
   private readonly probeReader = new ProbeReader(this)
   private isClosed = false
 
@@ -75,7 +75,7 @@
     return handler.result
   }
 
-  probe (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>> {
+  probe (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<ProbeResult, StepError>> {
     return this.probeReader.fetchProbe(address, deadline, scope)
   }
 
@@ -100,7 +100,7 @@
     step: ATTEMPT_STEP,
     peer: request.address,
     message: `${request.workerId}: ${message}`,
-    mayHaveSent: false,
+    mayHaveBeenSent: false,
     hasHeaders: false
   })
 }
--- a/packages/adapters/src/node/upstream/workerConnections.ts
+++ b/packages/adapters/src/node/upstream/workerConnections.ts
@@ -1,7 +1,7 @@
 /** Manages the connections of this process to one worker, up to a limit. */
 import { Client } from 'undici'
 import type { IClosable } from '@umberspar/base/common/closing'
-import type { TlsKeeper } from '../tls/tlsKeeper.js'
+import type { TlsCertificateProvider } from '../tls/tlsCertificateProvider.js'
 import { buildConnectTls } from '../tls/tlsOptions.js'
 
 /**
@@ -35,7 +35,7 @@
    */
   constructor (
     private readonly address: string,
-    private readonly tls?: TlsKeeper
+    private readonly tls?: TlsCertificateProvider
   ) {}
 
   /** @returns whether no connection is open */
--- a/packages/adapters/src/node/upstream/workerProbe.ts
+++ b/packages/adapters/src/node/upstream/workerProbe.ts
@@ -5,7 +5,7 @@
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import type { Result } from '@umberspar/base/common/result'
 import { Err, Ok } from '@umberspar/base/common/result'
-import type { AttemptResponse, IUpstreamTransport, ProbedLoad, WorkerProbe } from './attempt.js'
+import type { AttemptResponse, IUpstreamTransport, ProbedLoad, ProbeResult } from './attempt.js'
 import { ProbeScope } from './attempt.js'
 
 const PROBE_STEP = 'probe-worker'
@@ -62,7 +62,7 @@
    * @param scope the endpoints to request
    * @returns the worker's state; an error if it does not respond or its response is invalid
    */
-  async fetchProbe (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<WorkerProbe, StepError>> {
+  async fetchProbe (address: string, deadline: Deadline, scope: ProbeScope): Promise<Result<ProbeResult, StepError>> {
     const health = await this.fetchJson(address, HEALTH_PATH, healthSchema, deadline)
     if (health.err) return health
     const load = await this.fetchLoad(address, deadline, scope)
--- a/packages/adapters/test/node/peers/peers.test.ts
+++ b/packages/adapters/test/node/peers/peers.test.ts
@@ -4,7 +4,7 @@
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { NULL_LOGGER } from '@umberspar/base/common/logger'
 import { SystemClock } from '@umberspar/base/node/systemClock'
-import type { Digest, IPeerService, LoanRequest, LoanReturn, PeerDocument } from '@umberspar/steering/common/ports/peers'
+import type { Heartbeat, IPeerService, LoanRequest, LoanReturn, PeerDocument } from '@umberspar/steering/common/ports/peers'
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
 import { CHUNK_BYTES, DocumentAssembler, MAX_DOCUMENT_BYTES, splitDocument } from '../../../src/node/peers/documentChunks.js'
 import { PeerClient } from '../../../src/node/peers/peerClient.js'
@@ -22,11 +22,11 @@
 /** Records what it receives. */
 class FakePeerService implements IPeerService {
   storedDocument: PeerDocument | undefined
-  readonly digests: Digest[] = []
+  readonly digests: Heartbeat[] = []
   readonly loans: LoanRequest[] = []
   readonly returns: LoanReturn[] = []
 
-  exchange (digest: Digest): Digest {
+  exchange (digest: Heartbeat): Heartbeat {
     this.digests.push(digest)
     return { ...digest, nodeId: 'answering' }
   }
@@ -91,7 +91,7 @@
     const measuredAt = clock.now()
     const report = { workerId: 'w', utilization: 0.5, inFlight: 3, measuredAt, isDraining: false, isHealthy: true, isStarting: false, isProbed: true, hasLoad: true }
     const member = { nodeId: 'third', incarnation: 4, beat: 7, state: NodeState.Live as const, documents: [document], demand: [], isSuspected: true }
-    const digest: Digest = { nodeId: 'asking', state: NodeState.Leaving, incarnation: 2, documents: [document], demand: [], workers: [report], region: 'r', failureDomain: 'd', beat: 9, members: [member], confirmedAt: measuredAt }
+    const digest: Heartbeat = { nodeId: 'asking', state: NodeState.Leaving, incarnation: 2, documents: [document], demand: [], workers: [report], region: 'r', failureDomain: 'd', beat: 9, members: [member], confirmedAt: measuredAt }
     const response = await client.exchange(address, digest, createTestDeadline())
     assert.ok(response.ok)
     const [received] = service.digests
--- a/packages/adapters/test/node/store/etcdStore.test.ts
+++ b/packages/adapters/test/node/store/etcdStore.test.ts
@@ -7,7 +7,7 @@
 import { ErrorCode } from '@umberspar/base/common/errors'
 import { NULL_LOGGER } from '@umberspar/base/common/logger'
 import type { IKeyValueStore, StoreChange } from '@umberspar/steering/common/ports/keyValueStore'
-import { WatchEnd } from '@umberspar/steering/common/ports/keyValueStore'
+import { WatchEndReason } from '@umberspar/steering/common/ports/keyValueStore'
 import { SystemClock } from '@umberspar/base/node/systemClock'
 import type { KVServer, LeaseServer, RangeRequest, TxnRequest, WatchRequest, WatchResponse, WatchServer } from '../../../src/node/generated/etcd/rpc.js'
 import { Event_EventType as EventType, KVService, LeaseService, WatchService } from '../../../src/node/generated/etcd/rpc.js'
@@ -148,7 +148,7 @@
     const fake = await openFakeEtcd()
     const store = openStore(fake.address)
     const before = clock.now()
-    const granted = await store.openLease(10, createTestDeadline())
+    const granted = await store.acquireLease(10, createTestDeadline())
     const renewed = await store.renewLease('9', createTestDeadline())
     const after = clock.now()
     for (const lease of [granted, renewed]) {
@@ -160,7 +160,7 @@
     const lapsed = await store.renewLease('9', createTestDeadline())
     assert.ok(lapsed.err)
     assert.equal(lapsed.val.code, ErrorCode.NotFound)
-    assert.ok((await store.closeLease('9', createTestDeadline())).ok)
+    assert.ok((await store.releaseLease('9', createTestDeadline())).ok)
   })
 })
 
@@ -192,12 +192,12 @@
     const fake = await openFakeEtcd()
     const watch = openStore(fake.address).watch('a/', 43)
     const changes: StoreChange[] = []
-    const hasEnded = new Promise<WatchEnd>((resolve) => { watch.onDidEnd(resolve) })
+    const hasEnded = new Promise<WatchEndReason>((resolve) => { watch.onDidEnd(resolve) })
     watch.onDidChange((change) => {
       changes.push(change)
       if (changes.length === 2) fake.server.forceShutdown()
     })
-    assert.equal(await hasEnded, WatchEnd.Cut)
+    assert.equal(await hasEnded, WatchEndReason.Disconnected)
     assert.deepEqual(changes.map(({ modRevision, value }) => [modRevision, value?.toString()]), [[43, 'v'], [44, undefined]])
     assert.equal(fake.created[0]?.createRequest?.startRevision, 43n)
   })
@@ -205,13 +205,13 @@
   it('ends the watch as compacted when the store has discarded the revisions', async () => {
     const fake = await openFakeEtcd()
     const watch = openStore(fake.address).watch('a/', 1)
-    const hasEnded = new Promise<WatchEnd>((resolve) => { watch.onDidEnd(resolve) })
+    const hasEnded = new Promise<WatchEndReason>((resolve) => { watch.onDidEnd(resolve) })
     watch.onDidChange(() => { fake.watches[0]?.write(createWatchResponse({ canceled: true, compactRevision: 40n })) })
-    assert.equal(await hasEnded, WatchEnd.Compacted)
+    assert.equal(await hasEnded, WatchEndReason.Compacted)
   })
 
   it('ends the watch as interrupted when the member is unreachable', async () => {
     const watch = openStore(await findClosedAddress()).watch('a/', 1)
-    assert.equal(await new Promise<WatchEnd>((resolve) => { watch.onDidEnd(resolve) }), WatchEnd.Cut)
+    assert.equal(await new Promise<WatchEndReason>((resolve) => { watch.onDidEnd(resolve) }), WatchEndReason.Disconnected)
   })
 })
--- a/packages/adapters/test/node/upstream/upstreamTransport.test.ts
+++ b/packages/adapters/test/node/upstream/upstreamTransport.test.ts
@@ -84,7 +84,7 @@
     const body = Buffer.from('payload')
     const sent = await transport.send(createRequest(address, { body }))
     assert.ok(sent.err)
-    assert.deepEqual([sent.val.code, sent.val.mayHaveSent, sent.val.peer], [ErrorCode.Unavailable, false, address])
+    assert.deepEqual([sent.val.code, sent.val.mayHaveBeenSent, sent.val.peer], [ErrorCode.Unavailable, false, address])
   })
 
   it('reports the request as possibly sent when the worker resets the connection after receiving it', async () => {
@@ -93,7 +93,7 @@
     const address = await openRawServer((socket) => { socket.resetAndDestroy() })
     const sent = await createTransport(address).send(createRequest(address))
     assert.ok(sent.err)
-    assert.deepEqual([sent.val.code, sent.val.mayHaveSent, sent.val.hasHeaders], [ErrorCode.EffectUnknown, true, false])
+    assert.deepEqual([sent.val.code, sent.val.mayHaveBeenSent, sent.val.hasHeaders], [ErrorCode.EffectUnknown, true, false])
   })
 
   it('rejects a request immediately if no connection is free, and sends one after the limit has been raised', async () => {
@@ -109,7 +109,7 @@
     await hasArrived
     const second = await transport.send(createRequest(address))
     assert.ok(second.err)
-    assert.deepEqual([second.val.code, second.val.mayHaveSent], [ErrorCode.Exhausted, false])
+    assert.deepEqual([second.val.code, second.val.mayHaveBeenSent], [ErrorCode.Exhausted, false])
     transport.setWorkers([{ address, connections: 2 }])
     const hasThirdArrived = new Promise<void>((resolve) => { arrivals.push(resolve) })
     const third = transport.send(createRequest(address))
@@ -122,7 +122,7 @@
     }
     const removed = await transport.send(createRequest(address))
     assert.ok(removed.err)
-    assert.equal(removed.val.mayHaveSent, false)
+    assert.equal(removed.val.mayHaveBeenSent, false)
   })
 })
 
@@ -168,7 +168,7 @@
         abortController.abort()
         await assert.rejects(text(sent.val.body), (error: unknown) => error instanceof AttemptError && error.code === ErrorCode.Cancelled)
       } else {
-        assert.deepEqual([sent.val.code, sent.val.mayHaveSent], [ErrorCode.Cancelled, true])
+        assert.deepEqual([sent.val.code, sent.val.mayHaveBeenSent], [ErrorCode.Cancelled, true])
       }
       await hasClosed
     }
@@ -193,10 +193,10 @@
     const transport = createTransport(address, 1, stoppedClock)
     const late = await transport.send(createRequest(address, { deadline: 0 }))
     assert.ok(late.err)
-    assert.deepEqual([late.val.code, late.val.mayHaveSent], [ErrorCode.DeadlinePassed, false])
+    assert.deepEqual([late.val.code, late.val.mayHaveBeenSent], [ErrorCode.DeadlinePassed, false])
     const overdue = await transport.send(createRequest(address, { deadline: 1 }))
     assert.ok(overdue.err)
-    assert.deepEqual([overdue.val.code, overdue.val.mayHaveSent, overdue.val.hasHeaders], [ErrorCode.EffectUnknown, true, false])
+    assert.deepEqual([overdue.val.code, overdue.val.mayHaveBeenSent, overdue.val.hasHeaders], [ErrorCode.EffectUnknown, true, false])
     await hasClosed
   })
 })
--- a/packages/base/src/common/manualClock.ts
+++ b/packages/base/src/common/manualClock.ts
@@ -51,12 +51,12 @@
   }
 
   /** @returns the number of timers that have neither fired nor been closed */
-  countTimers (): number {
+  countPendingTimers (): number {
     return this.pending.size
   }
 
   /** @returns when the next timer is due; undefined if there is none */
-  getNextTimer (): Instant | undefined {
+  getNextDueTime (): Instant | undefined {
     if (this.pending.size === 0) return undefined
     return Math.min(...[...this.pending].map(({ at }) => at))
   }
--- a/packages/base/test/common/manualClock.test.ts
+++ b/packages/base/test/common/manualClock.test.ts
@@ -14,7 +14,7 @@
     const expected = instants.map((at, index) => ({ at, index })).sort((one, other) => one.at - other.at || one.index - other.index)
     assert.deepEqual(fired.map(({ at, index }) => ({ at, index })), expected)
     assert.ok(fired.every(({ at, now }) => now === Math.max(0, at)))
-    assert.equal(clock.countTimers(), 0)
+    assert.equal(clock.countPendingTimers(), 0)
   }), { seed: 11, numRuns: 200 })
 })
 
--- a/packages/cli/src/node/cliIo.ts
+++ b/packages/cli/src/node/cliIo.ts
@@ -11,5 +11,5 @@
   /** @returns a globally unique id for a new change */
   readonly createChangeId: () => string
   /** Milliseconds between two polls while waiting for the fleet. */
-  readonly pollSpanMs: number
+  readonly pollIntervalMs: number
 }
--- a/packages/cli/src/node/drainSubmitter.ts
+++ b/packages/cli/src/node/drainSubmitter.ts
@@ -53,7 +53,7 @@
 async function readConfigurationAtLeast (client: OperatorClient, io: CliIo, minVersion: number): Promise<Result<ConfigurationResponse, OperatorError>> {
   let answer = await client.readConfiguration()
   while (answer.ok && answer.val.head.version < minVersion && !hasPassed(client.deadline, io.clock.now())) {
-    await waitFor(io.clock, io.pollSpanMs)
+    await waitFor(io.clock, io.pollIntervalMs)
     answer = await client.readConfiguration()
   }
   return answer
--- a/packages/cli/src/node/drainWatcher.ts
+++ b/packages/cli/src/node/drainWatcher.ts
@@ -42,7 +42,7 @@
       if (progress.ok && progress.val.isDone) return progress
       if (progress.ok) lastProgress = formatDrainProgress(progress.val)
       this.reportIfChanged(progress.ok ? lastProgress : progress.val.message)
-      await waitFor(this.io.clock, this.io.pollSpanMs)
+      await waitFor(this.io.clock, this.io.pollIntervalMs)
     }
     const message = `not complete by the deadline: ${lastProgress}; the change remains in force, repeat the command to continue waiting`
     return Err(new OperatorError({ code: ErrorCode.DeadlinePassed, step: STEP, peer: getTargetName(options.target), message }))
--- a/packages/cli/src/node/main.ts
+++ b/packages/cli/src/node/main.ts
@@ -11,5 +11,5 @@
   clock: new SystemClock(),
   environment: process.env,
   createChangeId: randomUUID,
-  pollSpanMs: POLL_INTERVAL_MS
+  pollIntervalMs: POLL_INTERVAL_MS
 })
--- a/packages/cli/src/node/patchSubmitter.ts
+++ b/packages/cli/src/node/patchSubmitter.ts
@@ -6,8 +6,8 @@
 import type { Result } from '@umberspar/base/common/result'
 import type { JsonObject } from '../common/jsonValue.js'
 import { OperatorError } from '../common/operatorError.js'
-import { decidePatchOutcome, PatchOutcome } from '../common/patchSettlement.js'
-import type { ResolvedPatch } from '../common/patchSettlement.js'
+import { decidePatchOutcome, PatchOutcome } from '../common/patchOutcome.js'
+import type { ResolvedPatch } from '../common/patchOutcome.js'
 import type { CliIo } from './cliIo.js'
 import type { OperatorClient, PatchRequest } from './operatorClient.js'
 
@@ -72,7 +72,7 @@
         return Ok({ version: resolved.version, changeId: request.changeId, isSettledLater: true })
       }
       if (resolved?.outcome === PatchOutcome.NotApplied) return Err(this.buildConflict(request, lostAnswer.peer, resolved.version))
-      await waitFor(this.io.clock, this.io.pollSpanMs)
+      await waitFor(this.io.clock, this.io.pollIntervalMs)
     }
     const message = `change ${request.changeId} against version ${request.baseVersion} may or may not have taken effect; look for this id in the output of 'umberspar config history' before you try again (${lostAnswer.message})`
     return Err(new OperatorError({ code: ErrorCode.EffectUnknown, step: SETTLE_STEP, peer: lostAnswer.peer, message, cause: lostAnswer }))
--- a/packages/cli/test/node/fakeFleet.ts
+++ b/packages/cli/test/node/fakeFleet.ts
@@ -153,7 +153,7 @@
     clock,
     environment,
     createChangeId: () => `id-${++changeCount}`,
-    pollSpanMs: 1
+    pollIntervalMs: 1
   }
   const exitCode = await runCli(argv, io)
   return { exitCode, output: output.join('\n'), errors: errors.join('\n') }
--- a/packages/daemon/src/node/callers/requestHandler.ts
+++ b/packages/daemon/src/node/callers/requestHandler.ts
@@ -10,14 +10,14 @@
 import { Outcome } from '@umberspar/steering/common/state/outcome'
 import type { BurnCounter } from '@umberspar/steering/common/burn/burnCounter'
 import { isGoodRequest } from '@umberspar/steering/common/burn/burnReport'
-import { AnswerState, classifyExchange, SentState } from '@umberspar/steering/common/request/outcomeTable'
+import { ResponseState, classifyExchange, SentState } from '@umberspar/steering/common/request/outcomeTable'
 import { MAX_ATTEMPTS } from '@umberspar/steering/common/request/requestFlow'
 import { AttemptError } from '@umberspar/adapters/node/upstream/upstreamTransport'
-import type { HeldClaim } from '@umberspar/steering/common/dedup/claimKeeper'
+import type { HeldClaim } from '@umberspar/steering/common/dedup/claimManager'
 import { randomUUID } from 'node:crypto'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { pipeline } from 'node:stream/promises'
-import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
+import type { ConfigurationManager } from '../configuration/configurationManager.js'
 import { type Deduplicator, IDEMPOTENCY_KEY_HEADER } from '../dedup/deduplicator.js'
 import { readBody, type RequestBody } from '../request/requestBody.js'
 import type { RequestContext } from '../request/requestContext.js'
@@ -36,21 +36,21 @@
 const MAX_TIMEOUT_MS = 600_000
 
 /** The outcome of a request of which nothing was sent to any upstream. */
-const UNSENT_OUTCOME = classifyExchange(SentState.Nothing, AnswerState.Nothing)
+const UNSENT_OUTCOME = classifyExchange(SentState.Nothing, ResponseState.None)
 
 /** Sent while there is no configuration. A starting daemon has one within seconds. */
 const NOT_READY_PROBLEM: ProblemExtras = { kind: ProblemKind.NotReady, retryAfterSeconds: 1 }
 
 /** The column of the outcome table for each way a response body can end. */
-const ANSWER_STATE_BY_END: Readonly<Record<ResponseEnd, AnswerState>> = {
-  [ResponseEnd.Complete]: AnswerState.Whole,
-  [ResponseEnd.Broken]: AnswerState.Broken,
-  [ResponseEnd.CallerDisconnected]: AnswerState.Abandoned
+const ANSWER_STATE_BY_END: Readonly<Record<ResponseEnd, ResponseState>> = {
+  [ResponseEnd.Complete]: ResponseState.Complete,
+  [ResponseEnd.Broken]: ResponseState.Incomplete,
+  [ResponseEnd.CallerDisconnected]: ResponseState.Cancelled
 }
 
 /** The services that the handler uses. */
 export interface RequestHandlerDependencies {
-  readonly keeper: ConfigurationKeeper
+  readonly configurationManager: ConfigurationManager
   readonly runner: RequestRunner
   readonly deduplicator: Deduplicator
   readonly regions: ClientRegions
@@ -163,7 +163,7 @@
     const end = await this.pipeResponse(context, pending, response)
     pending.finish(end)
     // The outcome table never yields `not-run` once a response has begun.
-    const outcome = classifyExchange(SentState.MayHaveLeft, ANSWER_STATE_BY_END[end]) === Outcome.Done ? Outcome.Done : Outcome.Unknown
+    const outcome = classifyExchange(SentState.MaybeSent, ANSWER_STATE_BY_END[end]) === Outcome.Done ? Outcome.Done : Outcome.Unknown
     if (claim !== undefined) this.dependencies.deduplicator.finish(claim, outcome, status)
     return end === ResponseEnd.Complete ? status < MIN_SERVER_ERROR_STATUS : end === ResponseEnd.CallerDisconnected
   }
@@ -189,7 +189,7 @@
   }
 
   private createContext (request: IncomingMessage, requestId: string, signal: AbortSignal): RequestContext | StepError {
-    const current = this.dependencies.keeper.current
+    const current = this.dependencies.configurationManager.current
     if (current === undefined) return createLocalError(ErrorCode.Unavailable, 'no configuration has been loaded yet')
     const target = parseTarget(request.url ?? '/')
     // A service named like an inherited property (`constructor`) must not be found.
--- a/packages/daemon/src/node/callers/sendProblem.ts
+++ b/packages/daemon/src/node/callers/sendProblem.ts
@@ -12,7 +12,7 @@
   [ErrorCode.Invalid]: ProblemKind.BadRequest,
   [ErrorCode.NotFound]: ProblemKind.UnknownService,
   [ErrorCode.Conflict]: ProblemKind.DuplicateRequest,
-  [ErrorCode.Exhausted]: ProblemKind.NoRoom,
+  [ErrorCode.Exhausted]: ProblemKind.NoCapacity,
   [ErrorCode.Unavailable]: ProblemKind.UpstreamFailed,
   [ErrorCode.EffectUnknown]: ProblemKind.UpstreamFailed,
   [ErrorCode.DeadlinePassed]: ProblemKind.DeadlinePassed,
--- a/packages/daemon/src/node/configuration/configurationKeeper.ts
+++ b/packages/daemon/src/node/configuration/configurationManager.ts
@@ -8,7 +8,7 @@
 import { type ILogger, LogLevel } from '@umberspar/base/common/logger'
 import { shouldAdopt, type ConfigurationHead, type VersionedConfiguration } from '@umberspar/steering/common/configuration/versionedConfiguration'
 import { validateConfiguration } from '@umberspar/steering/common/configuration/validateConfiguration'
-import type { PushRoute } from '@umberspar/steering/common/spread/pushTree'
+import type { PushRoute } from '@umberspar/steering/common/gossip/pushTree'
 import type { Digester } from '@umberspar/steering/common/configuration/canonicalJson'
 
 /** Whether an offered configuration was put in force. */
@@ -21,13 +21,13 @@
 }
 
 /** A serialized configuration as stored and sent: the head, and the body as canonical JSON text. */
-export interface ConfigurationText {
+export interface SerializedConfiguration {
   readonly head: ConfigurationHead
   readonly text: string
 }
 
 /** Where a configuration was received from. */
-export enum LearnSource {
+export enum ConfigurationSource {
   /** This node read it from the store. */
   Store = 'store',
   /** An operator's patch was accepted here. */
@@ -39,30 +39,30 @@
 }
 
 /** Where a configuration was received from, and for a push the route on which it is forwarded. */
-export type LearnOrigin =
-  | { readonly source: LearnSource.Push, readonly route: PushRoute | undefined }
-  | { readonly source: Exclude<LearnSource, LearnSource.Push> }
+export type ConfigurationOrigin =
+  | { readonly source: ConfigurationSource.Push, readonly route: PushRoute | undefined }
+  | { readonly source: Exclude<ConfigurationSource, ConfigurationSource.Push> }
 
 /** A configuration that was put in force, and its origin. */
-export interface LearnedConfiguration {
-  readonly configuration: ConfigurationText
-  readonly origin: LearnOrigin
+export interface ReceivedConfiguration {
+  readonly configuration: SerializedConfiguration
+  readonly origin: ConfigurationOrigin
 }
 
 /** Holds the configuration in force and notifies of its changes. */
-export class ConfigurationKeeper implements IClosable {
+export class ConfigurationManager implements IClosable {
   private readonly didAdopt = new Emitter<VersionedConfiguration>()
   private inForce: VersionedConfiguration | undefined
   private inForceText = ''
   private reportedVersion = 0
   private peerAheadAt: Instant | undefined
   private storeConfirmedAt: Instant | undefined
-  private readonly didLearn = new Emitter<LearnedConfiguration>()
+  private readonly didReceive = new Emitter<ReceivedConfiguration>()
 
   /** Fires after a newer version was put in force. */
   readonly onDidAdopt = this.didAdopt.event
   /** Fires after `onDidAdopt`, with the origin of the version. */
-  readonly onDidLearn = this.didLearn.event
+  readonly onDidReceive = this.didReceive.event
 
   constructor (
     private readonly digester: Digester,
@@ -80,12 +80,12 @@
   }
 
   /** @returns the highest version that the store or any peer has reported, whether or not it is in force here */
-  get highestSeen (): number {
+  get highestReportedVersion (): number {
     return Math.max(this.reportedVersion, this.version)
   }
 
   /** @returns when a peer last reported a newer version than this node had at that time */
-  get lastAheadSeenAt (): Instant | undefined {
+  get lastPeerAheadAt (): Instant | undefined {
     return this.peerAheadAt
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** @returns the serialized configuration in force, or undefined if there is none yet */
-  get currentText (): ConfigurationText | undefined {
+  get currentText (): SerializedConfiguration | undefined {
     return this.inForce === undefined ? undefined : { head: this.inForce.head, text: this.inForceText }
   }
 
@@ -128,7 +128,7 @@
    * @param origin where it was received from
    * @returns whether it was put in force
    */
-  apply (offer: ConfigurationText, peer: string, origin: LearnOrigin): AdoptResult {
+  apply (offer: SerializedConfiguration, peer: string, origin: ConfigurationOrigin): AdoptResult {
     this.checkSameVersion(offer.head, peer)
     if (!shouldAdopt(this.version, offer.head.version)) return AdoptResult.NotNewer
     // A truncated body, or one assembled from chunks of two writers, would be a
@@ -140,13 +140,13 @@
     this.inForceText = offer.text
     this.logger.log(LogLevel.Info, { step: 'adopt-configuration', peer, version: offer.head.version, source: origin.source }, 'configuration put in force')
     this.didAdopt.fire(this.inForce)
-    this.didLearn.fire({ configuration: offer, origin })
+    this.didReceive.fire({ configuration: offer, origin })
     return AdoptResult.Adopted
   }
 
   close (): void {
     this.didAdopt.close()
-    this.didLearn.close()
+    this.didReceive.close()
   }
 
   /**
@@ -161,7 +161,7 @@
     this.logger.log(LogLevel.Error, { step: 'adopt-configuration', peer, version: head.version, changeId: head.changeId }, 'two different changes have the same version; submit a patch to replace both')
   }
 
-  private refuseInvalid (offer: ConfigurationText, peer: string, reason: string): AdoptResult {
+  private refuseInvalid (offer: SerializedConfiguration, peer: string, reason: string): AdoptResult {
     this.logger.log(LogLevel.Error, { step: 'adopt-configuration', peer, version: offer.head.version }, `configuration refused: ${reason}`)
     return AdoptResult.Damaged
   }
--- a/packages/daemon/src/node/configuration/configurationStore.ts
+++ b/packages/daemon/src/node/configuration/configurationStore.ts
@@ -11,7 +11,7 @@
 import type { ConfigurationHead } from '@umberspar/steering/common/configuration/versionedConfiguration'
 import type { IKeyValueStore, StoreCondition, StoreWrite } from '@umberspar/steering/common/ports/keyValueStore'
 import { headSchema, type HistoryEntry, historySchema, parseStored, type PendingBody, pendingSchema } from './configurationRecords.js'
-import type { ConfigurationText } from './configurationKeeper.js'
+import type { SerializedConfiguration } from './configurationManager.js'
 
 /** Half of the store's maximum value size, which leaves space for keys and framing. */
 export const CHUNK_BYTES = 512 * 1024
@@ -34,7 +34,7 @@
 /** A change to be written. */
 export interface ConfigurationChange {
   readonly base: StoredHead | undefined
-  readonly next: ConfigurationText
+  readonly next: SerializedConfiguration
   readonly note: string
   readonly atWallMs: number
 }
@@ -77,7 +77,7 @@
    * @param deadline when to give up
    * @returns the head and the body's text
    */
-  async readBody (head: ConfigurationHead, deadline: Deadline): Promise<Result<ConfigurationText, StepError>> {
+  async readBody (head: ConfigurationHead, deadline: Deadline): Promise<Result<SerializedConfiguration, StepError>> {
     const prefix = this.getBodyPrefix(head)
     const listed = await this.store.list(prefix, deadline)
     if (!listed.ok) return listed
--- a/packages/daemon/src/node/configuration/configurationWatcher.ts
+++ b/packages/daemon/src/node/configuration/configurationWatcher.ts
@@ -12,11 +12,11 @@
 import { type ILogger, logError, LogLevel } from '@umberspar/base/common/logger'
 import type { IRandomSource } from '@umberspar/base/common/random'
 import type { IKeyValueStore, IStoreWatch } from '@umberspar/steering/common/ports/keyValueStore'
-import type { SpreadNode } from '@umberspar/steering/common/spread/spreadNode'
-import { computeNextStoreRead } from '@umberspar/steering/common/spread/storeReads'
-import { isWatcher } from '@umberspar/steering/common/spread/watchers'
+import type { NodeLocation } from '@umberspar/steering/common/gossip/nodeLocation'
+import { computeNextStoreRead } from '@umberspar/steering/common/gossip/storeReads'
+import { isWatcher } from '@umberspar/steering/common/gossip/watchers'
 import type { MemberDirectory } from '../members/memberDirectory.js'
-import { type ConfigurationKeeper, LearnSource } from './configurationKeeper.js'
+import { type ConfigurationManager, ConfigurationSource } from './configurationManager.js'
 import type { ConfigurationStore, StoredHead } from './configurationStore.js'
 
 const READ_TIMEOUT_MS = 2000
@@ -29,9 +29,9 @@
 export interface ConfigurationWatcherDependencies {
   readonly store: IKeyValueStore
   readonly configurations: ConfigurationStore
-  readonly keeper: ConfigurationKeeper
+  readonly configurationManager: ConfigurationManager
   readonly members: MemberDirectory
-  readonly self: SpreadNode
+  readonly self: NodeLocation
   readonly clock: IClock
   readonly random: IRandomSource
   readonly logger: ILogger
@@ -73,9 +73,9 @@
    * and starts following it.
    */
   async start (): Promise<void> {
-    const { keeper, clock, members } = this.dependencies
-    const isFresh = keeper.confirmedAt !== undefined && !hasPassed(createDeadline(keeper.confirmedAt, MAX_CONFIRMATION_AGE_MS), clock.now())
-    if (keeper.current === undefined || !isFresh) await this.readOnce()
+    const { configurationManager, clock, members } = this.dependencies
+    const isFresh = configurationManager.confirmedAt !== undefined && !hasPassed(createDeadline(configurationManager.confirmedAt, MAX_CONFIRMATION_AGE_MS), clock.now())
+    if (configurationManager.current === undefined || !isFresh) await this.readOnce()
     if (this.isClosed) return
     this.subscription = members.onDidChange(() => this.updateRole())
     this.updateRole()
@@ -93,12 +93,12 @@
 
   /** @returns the status of following the store */
   getStatus (): StoreFollowStatus {
-    const { keeper, clock } = this.dependencies
+    const { configurationManager, clock } = this.dependencies
     return {
       isWatching: this.isWatching,
       storeVersion: this.storeVersion,
-      isStoreBehind: this.storeVersion !== undefined && this.storeVersion < keeper.version && this.watch !== undefined,
-      confirmedAgeMs: keeper.confirmedAt === undefined ? undefined : Math.round(clock.now() - keeper.confirmedAt)
+      isStoreBehind: this.storeVersion !== undefined && this.storeVersion < configurationManager.version && this.watch !== undefined,
+      confirmedAgeMs: configurationManager.confirmedAt === undefined ? undefined : Math.round(clock.now() - configurationManager.confirmedAt)
     }
   }
 
@@ -145,7 +145,7 @@
 
   /** @returns the failure, if any */
   private async readHeadAndBody (): Promise<StepError | undefined> {
-    const { clock, configurations, keeper } = this.dependencies
+    const { clock, configurations, configurationManager } = this.dependencies
     const askedAt = clock.now()
     const deadline = createDeadline(askedAt, READ_TIMEOUT_MS)
     const stored = await configurations.readHead(deadline)
@@ -153,13 +153,13 @@
     const version = stored.val?.head.version ?? 0
     this.storeVersion = version
     if (this.isWatching) this.startWatch((stored.val?.modRevision ?? 0) + 1)
-    if (version < keeper.version) return await this.writeBack(stored.val)
-    if (stored.val !== undefined && version > keeper.version) {
+    if (version < configurationManager.version) return await this.writeBack(stored.val)
+    if (stored.val !== undefined && version > configurationManager.version) {
       const body = await configurations.readBody(stored.val.head, deadline)
       if (!body.ok) return body.val
-      keeper.apply(body.val, 'store', { source: LearnSource.Store })
+      configurationManager.apply(body.val, 'store', { source: ConfigurationSource.Store })
     }
-    keeper.recordConfirmed(version, askedAt)
+    configurationManager.recordConfirmed(version, askedAt)
     return undefined
   }
 
@@ -171,8 +171,8 @@
    * read was merely outdated by a patch changes nothing.
    */
   private async writeBack (base: StoredHead | undefined): Promise<StepError | undefined> {
-    const { clock, configurations, keeper, logger } = this.dependencies
-    const next = keeper.currentText
+    const { clock, configurations, configurationManager, logger } = this.dependencies
+    const next = configurationManager.currentText
     if (!this.isWatching || next === undefined) return undefined
     const change = { base, next, note: WRITE_BACK_NOTE, atWallMs: clock.getWallTime() }
     const written = await configurations.write(change, createDeadline(clock.now(), WRITE_BACK_TIMEOUT_MS))
@@ -206,14 +206,14 @@
   }
 
   private computeNextRead (isBroken: boolean): Instant {
-    const { keeper, members, random } = this.dependencies
+    const { configurationManager, members, random } = this.dependencies
     return computeNextStoreRead({
       isWatcher: this.isWatching,
       nodeCount: members.list().length,
-      confirmedAt: keeper.confirmedAt,
+      confirmedAt: configurationManager.confirmedAt,
       lastReadAt: this.lastReadAt,
       hasLastReadFailed: isBroken || this.lastFailure !== undefined,
-      hasConfiguration: keeper.current !== undefined
+      hasConfiguration: configurationManager.current !== undefined
     }, random)
   }
 
--- a/packages/daemon/src/node/configuration/patchService.ts
+++ b/packages/daemon/src/node/configuration/patchService.ts
@@ -15,7 +15,7 @@
 import type { ConfigurationHead, VersionedConfiguration } from '@umberspar/steering/common/configuration/versionedConfiguration'
 import { validateConfiguration } from '@umberspar/steering/common/configuration/validateConfiguration'
 import type { ConfigurationProblem } from '@umberspar/steering/common/configuration/configurationProblem'
-import { type ConfigurationKeeper, LearnSource } from './configurationKeeper.js'
+import { type ConfigurationManager, ConfigurationSource } from './configurationManager.js'
 import { PatchSettler } from './patchSettler.js'
 import type { ConfigurationStore, StoredHead } from './configurationStore.js'
 
@@ -59,7 +59,7 @@
 
   constructor (
     private readonly configurations: ConfigurationStore,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly configurationManager: ConfigurationManager,
     private readonly digester: Digester,
     private readonly clock: IClock,
     private readonly logger: ILogger
@@ -115,7 +115,7 @@
   private async write (current: CurrentState, body: SteeringConfiguration, request: PatchRequest, deadline: Deadline): Promise<PatchOutcome | undefined> {
     const text = encodeCanonical(body)
     const head: ConfigurationHead = {
-      version: Math.max(current.configuration.head.version, this.keeper.highestSeen) + 1,
+      version: Math.max(current.configuration.head.version, this.configurationManager.highestReportedVersion) + 1,
       changeId: request.changeId,
       digest: this.digester.computeDigest(text)
     }
@@ -124,7 +124,7 @@
     const settled = written.ok ? written : await this.settler.settle(written.val, head, current.stored)
     if (!settled.ok) return new Err({ kind: 'failed', error: settled.val })
     if (!settled.val) return undefined
-    this.keeper.apply(next, 'operator', { source: LearnSource.Operator })
+    this.configurationManager.apply(next, 'operator', { source: ConfigurationSource.Operator })
     runDetached(() => this.removeUnused(), this.logger, 'remove-history')
     return new Ok(head)
   }
@@ -152,7 +152,7 @@
    * patches forever. So after a timeout its version number is only skipped.
    */
   private isPeerAhead (): boolean {
-    const seenAt = this.keeper.lastAheadSeenAt
+    const seenAt = this.configurationManager.lastPeerAheadAt
     return seenAt !== undefined && !hasPassed(createDeadline(seenAt, PEER_AHEAD_TIMEOUT_MS), this.clock.now())
   }
 
@@ -165,11 +165,11 @@
     const stored = await this.configurations.readHead(deadline)
     if (!stored.ok) return stored
     const storedVersion = stored.val?.head.version ?? 0
-    const newest = Math.max(storedVersion, this.keeper.version)
-    if (this.keeper.highestSeen > newest && this.isPeerAhead()) {
-      return new Err(new StepError({ code: ErrorCode.Unavailable, step: 'read-current', peer: 'local', message: `a peer has version ${this.keeper.highestSeen}, but this daemon only has ${newest}; try again` }))
+    const newest = Math.max(storedVersion, this.configurationManager.version)
+    if (this.configurationManager.highestReportedVersion > newest && this.isPeerAhead()) {
+      return new Err(new StepError({ code: ErrorCode.Unavailable, step: 'read-current', peer: 'local', message: `a peer has version ${this.configurationManager.highestReportedVersion}, but this daemon only has ${newest}; try again` }))
     }
-    const inForce = this.keeper.current
+    const inForce = this.configurationManager.current
     if (inForce !== undefined && inForce.head.version > storedVersion) return new Ok({ stored: stored.val, configuration: inForce })
     if (stored.val === undefined) return new Ok({ stored: undefined, configuration: NO_CONFIGURATION })
     const body = await this.readVersion(stored.val.head, deadline)
@@ -182,7 +182,7 @@
    * @returns the configuration, taken from memory if it is the one in force
    */
   async readVersion (head: ConfigurationHead, deadline: Deadline): Promise<Result<VersionedConfiguration, StepError>> {
-    const current = this.keeper.current
+    const current = this.configurationManager.current
     if (current !== undefined && current.head.changeId === head.changeId) return new Ok(current)
     const text = await this.configurations.readBody(head, deadline)
     if (!text.ok) return text
--- a/packages/daemon/src/node/daemon.ts
+++ b/packages/daemon/src/node/daemon.ts
@@ -13,7 +13,7 @@
 import type { DaemonSettings } from '@umberspar/adapters/node/settings/daemonSettings'
 import { createDigester } from '@umberspar/steering/common/configuration/canonicalJson'
 import { LookupIndex, type LookupNode } from '@umberspar/steering/common/lookup/decideLookup'
-import { computeRoundSpan, SMALL_FLEET } from '@umberspar/steering/common/spread/neighbours'
+import { computeRoundIntervalMs, MAX_SMALL_FLEET_VMS } from '@umberspar/steering/common/gossip/neighbours'
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
 import { VmState } from '@umberspar/steering/common/ports/vmList'
 import type { AdmissionPolicy } from './places/admissionQueue.js'
@@ -78,7 +78,7 @@
   /** @returns whether it has everything it needs to serve callers */
   isReady (): boolean {
     const parts = this.parts
-    if (parts?.keeper.current === undefined || parts.peerService.state !== NodeState.Live) return false
+    if (parts?.configurationManager.current === undefined || parts.peerService.state !== NodeState.Live) return false
     this.hasClientBlocks ||= parts.regions.isCurrent
     return this.hasClientBlocks && parts.limits.isReady
   }
@@ -98,7 +98,7 @@
     const parts = createDaemonParts({ settings: this.settings, digester, logger: this.logger, metrics, clock: this.clock, random: this.random, tls, admission: this.admission }, this.owned)
     this.parts = parts
     this.stopController = this.createStop(parts)
-    parts.keeper.onDidAdopt(() => this.applyState())
+    parts.configurationManager.onDidAdopt(() => this.applyState())
     parts.members.onDidChange(() => this.applyState())
     const opened = await this.openListeners(parts, tls, metrics)
     if (!opened.ok) {
@@ -161,7 +161,7 @@
         this.applyState()
       },
       publishState: () => this.publishState(parts),
-      getPropagationTimeMs: () => computeRoundSpan(parts.members.list().length) * PROPAGATION_ROUNDS,
+      getPropagationTimeMs: () => computeRoundIntervalMs(parts.members.list().length) * PROPAGATION_ROUNDS,
       stopListening: () => this.callers?.stop(),
       countOpenRequests: () => parts.requests.inFlight,
       countConnections: async () => await this.callers?.countConnections() ?? 0
@@ -172,7 +172,7 @@
   /** Sends this node's state to all nodes of a small fleet. In a large one only neighbours receive it, and it propagates from them. */
   private async publishState (parts: DaemonParts): Promise<boolean> {
     const others = parts.members.listActive().filter(({ nodeId }) => nodeId !== this.settings.nodeId)
-    if (others.length < SMALL_FLEET) return await parts.heartbeats.sendToAll(others.map(({ nodeId }) => nodeId))
+    if (others.length < MAX_SMALL_FLEET_VMS) return await parts.heartbeats.sendToAll(others.map(({ nodeId }) => nodeId))
     await parts.heartbeats.sendRound()
     return false
   }
@@ -215,7 +215,7 @@
   /** Updates look-ups, places, plans and probes to the current configuration and members. */
   private applyState (): void {
     const parts = this.parts
-    const current = parts?.keeper.current
+    const current = parts?.configurationManager.current
     if (parts === undefined || current === undefined) return
     this.applyOwnVmState(parts)
     this.lifetime.update(current.body.lookupCacheMs, this.clock.now())
@@ -225,7 +225,7 @@
     parts.reports.update(workers)
     parts.reports.applyVmStates((vm) => parts.members.isUpstreamLeaving(vm))
     parts.prober.update(workers)
-    parts.board.setConfiguration(current.body)
+    parts.measurementCollector.setConfiguration(current.body)
     parts.limits.update()
     parts.plans.update(current.body)
     parts.regions.update(current.body)
@@ -238,7 +238,7 @@
    * before a restart. Without the VM list it would act as if it were the only node.
    */
   private canGoLive (parts: DaemonParts): boolean {
-    return this.hasCompletedInitialSync && parts.members.isListed
+    return this.hasCompletedInitialSync && parts.members.hasReadList
   }
 
   private listNodes (parts: DaemonParts): LookupNode[] {
--- a/packages/daemon/src/node/daemonParts.ts
+++ b/packages/daemon/src/node/daemonParts.ts
@@ -13,19 +13,19 @@
 import { ClientRegions } from './callers/clientRegions.js'
 import { LookupHandler } from './callers/lookupHandler.js'
 import { RequestHandler } from './callers/requestHandler.js'
-import { ConfigurationKeeper } from './configuration/configurationKeeper.js'
+import { ConfigurationManager } from './configuration/configurationManager.js'
 import { ConfigurationStore } from './configuration/configurationStore.js'
 import { ConfigurationWatcher } from './configuration/configurationWatcher.js'
 import { Deduplicator } from './dedup/deduplicator.js'
 import { PatchService } from './configuration/patchService.js'
 import { MemberDirectory } from './members/memberDirectory.js'
-import { LimitKeeper } from './limits/limitKeeper.js'
+import { LimitManager } from './limits/limitManager.js'
 import { DocumentRegistry } from './peers/documentRegistry.js'
-import { DocumentSpreader } from './peers/documentSpreader.js'
+import { ConfigurationPublisher } from './peers/configurationPublisher.js'
 import { Heartbeats } from './peers/heartbeats.js'
 import { PeerService } from './peers/peerService.js'
 import { PlaceDirectory } from './places/placeDirectory.js'
-import { PlanKeeper } from './places/planKeeper.js'
+import { PlanFollower } from './places/planFollower.js'
 import { WorkerProber } from './places/workerProber.js'
 import { WorkerReports } from './places/workerReports.js'
 import type { PartInputs } from './partInputs.js'
@@ -37,7 +37,7 @@
 /** The parts of one daemon. */
 export interface DaemonParts extends PlanParts {
   readonly store: IKeyValueStore
-  readonly keeper: ConfigurationKeeper
+  readonly configurationManager: ConfigurationManager
   readonly configurations: ConfigurationStore
   readonly watcher: ConfigurationWatcher
   readonly patches: PatchService
@@ -46,9 +46,9 @@
   readonly peerServer: PeerServer
   readonly peerClient: PeerClient
   readonly heartbeats: Heartbeats
-  readonly limits: LimitKeeper
+  readonly limits: LimitManager
   readonly places: PlaceDirectory
-  readonly plans: PlanKeeper
+  readonly plans: PlanFollower
   readonly prober: WorkerProber
   readonly reports: WorkerReports
   readonly transport: UndiciTransport
@@ -76,7 +76,7 @@
   const slots = new SlotFinder(traffic.places, traffic.plans, random)
   const runner = new RequestRunner({ selfId: settings.nodeId, transport: traffic.transport, slots, clock, random, metrics })
   const deduplicator = owned.add(createDeduplicator(inputs, control))
-  const requests = new RequestHandler({ keeper: control.keeper, runner, deduplicator, regions, burn, demand: planning.demand, clock, logger, metrics })
+  const requests = new RequestHandler({ configurationManager: control.configurationManager, runner, deduplicator, regions, burn, demand: planning.demand, clock, logger, metrics })
   return { ...control, ...traffic, ...peers, ...planning, burn, regions, lookups: new LookupHandler(regions), requests }
 }
 
@@ -86,7 +86,7 @@
   return new Deduplicator({ store: control.store, clock, random, metrics, keyPrefix: settings.store.keyPrefix, nodeId: settings.nodeId, incarnation: clock.getWallTime(), countNodes })
 }
 
-type ControlParts = Pick<DaemonParts, 'store' | 'keeper' | 'configurations' | 'watcher' | 'patches' | 'members'>
+type ControlParts = Pick<DaemonParts, 'store' | 'configurationManager' | 'configurations' | 'watcher' | 'patches' | 'members'>
 type TrafficParts = Pick<DaemonParts, 'places' | 'plans' | 'prober' | 'reports' | 'transport'>
 type PeerParts = Pick<DaemonParts, 'peerService' | 'peerServer' | 'peerClient' | 'heartbeats' | 'limits'>
 
@@ -96,20 +96,20 @@
   const tls = inputs.tls.get(TlsSide.Store)
   const security = tls === undefined ? undefined : createChannelSecurity(tls)
   const store = owned.add(createEtcdStore({ endpoints: settings.store.endpoints, clock, logger, metrics, security }))
-  const keeper = owned.add(new ConfigurationKeeper(digester, logger))
+  const configurationManager = owned.add(new ConfigurationManager(digester, logger))
   const configurations = new ConfigurationStore(store, settings.store.keyPrefix)
-  const patches = new PatchService(configurations, keeper, digester, clock, logger)
+  const patches = new PatchService(configurations, configurationManager, digester, clock, logger)
   const vmList = owned.add(new HttpVmList({ url: settings.vmList.url, clock }))
   const members = owned.add(new MemberDirectory(vmList, settings.nodeId, clock, random, logger))
-  const watcher = owned.add(new ConfigurationWatcher({ store, configurations, keeper, members, self: settings, clock, random, logger }))
-  return { store, keeper, configurations, watcher, patches, members }
+  const watcher = owned.add(new ConfigurationWatcher({ store, configurations, configurationManager, members, self: settings, clock, random, logger }))
+  return { store, configurationManager, configurations, watcher, patches, members }
 }
 
 function createTrafficParts (inputs: PartInputs, owned: CloseStack): TrafficParts {
   const { settings, clock, random, logger } = inputs
   const transport = owned.add(new UndiciTransport({ clock, tls: inputs.tls.get(TlsSide.Upstreams) }))
   const places = owned.add(new PlaceDirectory(clock, random, inputs.admission))
-  const plans = owned.add(new PlanKeeper(clock))
+  const plans = owned.add(new PlanFollower(clock))
   const reports = owned.add(new WorkerReports(settings.nodeId, clock))
   const prober = owned.add(new WorkerProber(settings.nodeId, transport, reports, clock, random, logger))
   return { places, plans, prober, reports, transport }
@@ -123,11 +123,11 @@
   const credentials = tls === undefined ? undefined : createServerCredentials(tls)
   const security = tls === undefined ? undefined : createChannelSecurity(tls)
   const client = owned.add(new PeerClient({ clock, security }))
-  const limits = owned.add(new LimitKeeper({ selfId: nodeId, region, ...traffic, ...control, client, clock, random, logger }))
-  const peerService = new PeerService(identity, control.keeper, control.members, traffic.reports, limits, registry, clock)
+  const limits = owned.add(new LimitManager({ selfId: nodeId, region, ...traffic, ...control, client, clock, random, logger }))
+  const peerService = new PeerService(identity, control.configurationManager, control.members, traffic.reports, limits, registry, clock)
   const peerServer = owned.add(new PeerServer({ address: settings.peers.address, service: peerService, clock, logger, credentials }))
-  const heartbeats = owned.add(new Heartbeats(settings, client, peerService, control.members, control.keeper, registry, clock, random, logger))
-  owned.add(new DocumentSpreader(settings, client, control.members, control.keeper, clock, logger))
-  traffic.reports.onDidFind((peerIds) => runDetached(() => heartbeats.sendToAll(peerIds), logger, 'report-worker'))
+  const heartbeats = owned.add(new Heartbeats(settings, client, peerService, control.members, control.configurationManager, registry, clock, random, logger))
+  owned.add(new ConfigurationPublisher(settings, client, control.members, control.configurationManager, clock, logger))
+  traffic.reports.onDidChangeState((peerIds) => runDetached(() => heartbeats.sendToAll(peerIds), logger, 'report-worker'))
   return { peerService, peerServer, peerClient: client, heartbeats, limits }
 }
--- a/packages/daemon/src/node/dedup/deduplicator.ts
+++ b/packages/daemon/src/node/dedup/deduplicator.ts
@@ -6,7 +6,7 @@
 import type { IMetrics } from '@umberspar/base/common/metrics'
 import type { IRandomSource } from '@umberspar/base/common/random'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
-import { type ClaimAnswer, ClaimAnswerKind, ClaimKeeper, type HeldClaim } from '@umberspar/steering/common/dedup/claimKeeper'
+import { type ClaimAnswer, ClaimAnswerKind, ClaimManager, type HeldClaim } from '@umberspar/steering/common/dedup/claimManager'
 import type { ClaimRecord } from '@umberspar/steering/common/dedup/claimRecord'
 import { ClaimDecision } from '@umberspar/steering/common/dedup/decideClaim'
 import { StoreCallBudget } from '@umberspar/steering/common/dedup/storeCallBudget'
@@ -61,7 +61,7 @@
 
 /** Deduplicates one daemon's requests by their Idempotency-Key. */
 export class Deduplicator implements IClosable {
-  private readonly keeper: ClaimKeeper
+  private readonly claimManager: ClaimManager
 
   private readonly refusalByDecision: Readonly<Record<Exclude<ClaimDecision, ClaimDecision.TakeOver>, RefusalBuilder>> = {
     [ClaimDecision.Running]: (existing) => ({
@@ -91,7 +91,7 @@
   constructor (private readonly dependencies: DeduplicatorDependencies) {
     const { clock, countNodes, metrics } = dependencies
     const calls = new StoreCallBudget(clock, countNodes)
-    this.keeper = new ClaimKeeper({ ...dependencies, calls, onCall: () => { metrics.count('dedup.store-calls', 1) } })
+    this.claimManager = new ClaimManager({ ...dependencies, calls, onCall: () => { metrics.count('dedup.store-calls', 1) } })
   }
 
   /**
@@ -103,7 +103,7 @@
   async claim (context: RequestContext, key: string | undefined): Promise<Result<HeldClaim | undefined, ClaimRefusal>> {
     if (!context.settings.deduplicate || context.isIdempotent || key === undefined) return new Ok(undefined)
     if (key.length === 0 || key.length > MAX_KEY_LENGTH) return new Err(this.createInvalidKeyRefusal())
-    const answer = await this.keeper.claim({
+    const answer = await this.claimManager.claim({
       service: context.service,
       keyHash: computeHash(key),
       fingerprint: computeHash(`${context.method}\n${context.path}`),
@@ -123,8 +123,8 @@
    * @param status the status of the upstream's response, if any
    */
   finish (claim: HeldClaim, outcome: Outcome.Done | Outcome.Unknown, status?: number): void {
-    this.keeper.finish(claim, outcome, status)
-    this.dependencies.metrics.set('dedup.pending-ends', this.keeper.pendingEnds)
+    this.claimManager.finish(claim, outcome, status)
+    this.dependencies.metrics.set('dedup.pending-ends', this.claimManager.pendingClaims)
   }
 
   /**
@@ -134,21 +134,21 @@
    * @returns the minimum Retry-After in seconds, or undefined if the key was released
    */
   async release (claim: HeldClaim, deadline: Deadline): Promise<number | undefined> {
-    const isReleased = await this.keeper.release(claim, deadline)
-    this.dependencies.metrics.set('dedup.pending-ends', this.keeper.pendingEnds)
+    const isReleased = await this.claimManager.release(claim, deadline)
+    this.dependencies.metrics.set('dedup.pending-ends', this.claimManager.pendingClaims)
     return isReleased ? undefined : this.computeUnreleasedRetryAfter()
   }
 
   /** Waits at most one second for the outcomes that are not written yet. */
   async close (): Promise<void> {
-    if (this.keeper.pendingEnds > 0) await this.keeper.settle(createDeadline(this.dependencies.clock.now(), CLOSE_TIMEOUT_MS))
-    this.keeper.close()
+    if (this.claimManager.pendingClaims > 0) await this.claimManager.settle(createDeadline(this.dependencies.clock.now(), CLOSE_TIMEOUT_MS))
+    this.claimManager.close()
   }
 
   private toResult (answer: ClaimAnswer): Result<HeldClaim | undefined, ClaimRefusal> {
     if (answer.kind === ClaimAnswerKind.Claimed) return new Ok(answer.claim)
     if (answer.kind === ClaimAnswerKind.Refused) return new Err(this.refusalByDecision[answer.decision](answer.existing))
-    const isOverRate = answer.kind === ClaimAnswerKind.OverRate
+    const isOverRate = answer.kind === ClaimAnswerKind.RateLimited
     const error = isOverRate
       ? this.createError(ErrorCode.Exhausted, 'this entry VM has reached its rate limit for claims')
       : this.createError(ErrorCode.Unavailable, 'the store did not accept the claim in time')
--- a/packages/daemon/src/node/httpListener.ts
+++ b/packages/daemon/src/node/httpListener.ts
@@ -7,7 +7,7 @@
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
 import { SystemClock } from '@umberspar/base/node/systemClock'
 import { DEFAULT_LISTENER_LIMITS, type ListenerLimits } from '@umberspar/adapters/node/settings/listenerSettings'
-import type { TlsKeeper } from '@umberspar/adapters/node/tls/tlsKeeper'
+import type { TlsCertificateProvider } from '@umberspar/adapters/node/tls/tlsCertificateProvider'
 import { toContextOptions } from '@umberspar/adapters/node/tls/tlsMaterial'
 import { createServer, type IncomingMessage, type RequestListener, type Server, type ServerOptions, type ServerResponse } from 'node:http'
 import { createServer as createTlsServer, type Server as TlsServer } from 'node:https'
@@ -26,7 +26,7 @@
 export interface HttpListenerOptions {
   readonly limits?: ListenerLimits | undefined
   /** TLS certificates. With a CA, clients must present a certificate issued by it. */
-  readonly tls?: TlsKeeper | undefined
+  readonly tls?: TlsCertificateProvider | undefined
   /** Whether an address is a proxy for many clients and may open any number of connections. */
   readonly isForwarder?: (address: string) => boolean
   readonly clock?: IClock
@@ -110,7 +110,7 @@
     this.metrics.count('listener.refused', 1, { listener: this.name, reason })
   }
 
-  private createServer (tls: TlsKeeper | undefined): Server | TlsServer {
+  private createServer (tls: TlsCertificateProvider | undefined): Server | TlsServer {
     const { headersWithinMs, idleWithinMs, maxHeaderBytes } = this.limits
     const options: ServerOptions = {
       insecureHTTPParser: false,
--- a/packages/daemon/src/node/limits/lendIdle.ts
+++ b/packages/daemon/src/node/limits/lendIdleSlots.ts
@@ -24,7 +24,7 @@
  * @param isLeaving whether this node is leaving and needs no slots itself
  * @returns the loan, with 0 slots if nothing was lent
  */
-export function lendIdle (pool: PlacePool, request: LoanRequest, now: Instant, isLeaving: boolean): LoanAnswer {
+export function lendIdleSlots (pool: PlacePool, request: LoanRequest, now: Instant, isLeaving: boolean): LoanAnswer {
   // A borrower learns of a drain from its lender alone; without a loan it doesn't have to.
   if (pool.isDraining(request.workerId)) return { loanId: request.loanId, slots: 0, connections: 0, deadline: now }
   const answer = pool.ledger.lend(request, now, computeReservedSlots(pool, now, isLeaving))
--- a/packages/daemon/src/node/limits/lenderDirectory.ts
+++ b/packages/daemon/src/node/limits/lenderDirectory.ts
@@ -1,6 +1,6 @@
 /** Finds the peers that own shares of a place and may lend slots. */
 import { listServiceEntries } from '@umberspar/steering/common/lookup/decideLookup'
-import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
+import type { ConfigurationManager } from '../configuration/configurationManager.js'
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import { findRegion } from '@umberspar/steering/common/configuration/findRegion'
 import type { PlaceKey } from '../places/placePool.js'
@@ -19,7 +19,7 @@
   constructor (
     private readonly selfId: string,
     private readonly members: MemberDirectory,
-    private readonly keeper: ConfigurationKeeper
+    private readonly configurationManager: ConfigurationManager
   ) {}
 
   /**
@@ -41,7 +41,7 @@
   }
 
   private findLenders ({ service, failureDomain }: PlaceKey): Lender[] {
-    const configuration = this.keeper.current?.body
+    const configuration = this.configurationManager.current?.body
     const region = configuration === undefined ? undefined : findRegion(configuration, failureDomain)
     if (configuration === undefined || region === undefined) return []
     const members = this.members.list()
--- a/packages/daemon/src/node/limits/limitDocuments.ts
+++ b/packages/daemon/src/node/limits/limitDocuments.ts
@@ -39,7 +39,7 @@
     documents.push(buildDocument(`${REMOVED_PREFIX}${nodeId}`, { changeId: `${region}/${failureDomain}` }))
   }
   if (announcement.listVersion >= 0) documents.push(buildDocument(VM_LIST_DOCUMENT, { version: announcement.listVersion }))
-  if (announcement.acknowledgedView !== undefined) documents.push(buildDocument(ROSTER_DOCUMENT, { version: announcement.acknowledgedView.listVersion, digest: announcement.acknowledgedView.stamp }))
+  if (announcement.acknowledgedView !== undefined) documents.push(buildDocument(ROSTER_DOCUMENT, { version: announcement.acknowledgedView.listVersion, digest: announcement.acknowledgedView.fingerprint }))
   return documents
 }
 
--- a/packages/daemon/src/node/limits/limitKeeper.ts
+++ b/packages/daemon/src/node/limits/limitManager.ts
@@ -12,21 +12,21 @@
 import type { UndiciTransport } from '@umberspar/adapters/node/upstream/upstreamTransport'
 import { buildDivisionView, type DivisionView } from '@umberspar/steering/common/limits/divisionView'
 import type { SlotShare } from '@umberspar/steering/common/limits/divideSlots'
-import { type LimitUse, PartKeeper } from '@umberspar/steering/common/limits/partKeeper'
+import { type LimitUsage, DivisionTracker } from '@umberspar/steering/common/limits/divisionTracker'
 import { Roster } from '@umberspar/steering/common/limits/roster'
 import { StartBarrier } from '@umberspar/steering/common/limits/startBarrier'
 import { findPlaceKey } from '@umberspar/steering/common/limits/slotKey'
 import type { DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
-import type { Digest, IPeerClient, LoanAnswer, LoanRequest, LoanReturn } from '@umberspar/steering/common/ports/peers'
-import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
+import type { Heartbeat, IPeerClient, LoanAnswer, LoanRequest, LoanReturn } from '@umberspar/steering/common/ports/peers'
+import type { ConfigurationManager } from '../configuration/configurationManager.js'
 import type { VmListReading, MemberDirectory } from '../members/memberDirectory.js'
 import type { ShareSource, PlaceDirectory } from '../places/placeDirectory.js'
 import type { PlacePool } from '../places/placePool.js'
 import type { WorkerProber } from '../places/workerProber.js'
 import { buildLimitDocuments, findPeerLimitState, findFingerprint } from './limitDocuments.js'
 import { LenderDirectory } from './lenderDirectory.js'
-import { lendIdle } from './lendIdle.js'
-import { LoanKeeper } from './loanKeeper.js'
+import { lendIdleSlots } from './lendIdleSlots.js'
+import { LoanBorrower } from './loanBorrower.js'
 
 const STEP_INTERVAL_MS = 200
 const STEP_JITTER_RATIO = 0.2
@@ -36,12 +36,12 @@
 const NO_SHARE: SlotShare = { slots: 0, connections: 0 }
 
 /** Dependencies of the keeper. */
-export interface LimitKeeperParts {
+export interface LimitManagerDependencies {
   readonly selfId: string
   readonly region: string
   readonly places: PlaceDirectory
   readonly members: MemberDirectory
-  readonly keeper: ConfigurationKeeper
+  readonly configurationManager: ConfigurationManager
   readonly client: IPeerClient
   readonly transport: UndiciTransport
   readonly prober: WorkerProber
@@ -51,10 +51,10 @@
 }
 
 /** Manages this node's shares, acknowledgements and loans. */
-export class LimitKeeper implements IClosable, ShareSource {
+export class LimitManager implements IClosable, ShareSource {
   private readonly roster: Roster
-  private readonly divisionTracker: PartKeeper
-  private readonly loanBorrower: LoanKeeper
+  private readonly divisionTracker: DivisionTracker
+  private readonly loanBorrower: LoanBorrower
   private readonly lenders: LenderDirectory
   private readonly startedAt: Instant
   private readonly startBarrier: StartBarrier
@@ -65,30 +65,30 @@
   private isLeaving = false
   private isClosed = false
   private timer: ITimer | undefined
-  private buildDigest: ((peerId: string) => Digest) | undefined
+  private buildDigest: ((peerId: string) => Heartbeat) | undefined
 
-  constructor (private readonly parts: LimitKeeperParts) {
-    const { selfId, client, clock, random, logger, members, places } = parts
+  constructor (private readonly dependencies: LimitManagerDependencies) {
+    const { selfId, client, clock, random, logger, members, places } = dependencies
     this.roster = new Roster()
-    this.divisionTracker = new PartKeeper(selfId)
+    this.divisionTracker = new DivisionTracker(selfId)
     this.startedAt = clock.now()
     this.startBarrier = new StartBarrier(this.startedAt)
-    this.lenders = new LenderDirectory(selfId, members, parts.keeper)
-    this.loanBorrower = new LoanKeeper({ selfId, client, clock, random, logger, listLenders: (pool) => this.lenders.list(pool.key), applyChange: (pool) => this.applyLoans(pool) })
+    this.lenders = new LenderDirectory(selfId, members, dependencies.configurationManager)
+    this.loanBorrower = new LoanBorrower({ selfId, client, clock, random, logger, listLenders: (pool) => this.lenders.list(pool.key), applyChange: (pool) => this.applyLoans(pool) })
     members.onDidRead((reading) => this.updateRoster(reading))
     places.onDidRunOut((pool) => this.loanBorrower.borrow(pool))
   }
 
   /** @returns whether this node has its shares, or has waited for them for the maximum time */
   get isReady (): boolean {
-    return this.divisionTracker.isSettled || hasPassed(createDeadline(this.startedAt, MAX_READINESS_DELAY_MS), this.parts.clock.now())
+    return this.divisionTracker.isSettled || hasPassed(createDeadline(this.startedAt, MAX_READINESS_DELAY_MS), this.dependencies.clock.now())
   }
 
   /**
    * Starts exchanging acknowledgements.
    * @param buildDigest builds this node's heartbeat for a peer
    */
-  start (buildDigest: (peerId: string) => Digest): void {
+  start (buildDigest: (peerId: string) => Heartbeat): void {
     this.buildDigest = buildDigest
     this.scheduleStep()
   }
@@ -109,20 +109,20 @@
 
   /** @inheritdoc */
   getShare (slotKey: string): SlotShare {
-    return this.mayUseShares() ? this.divisionTracker.getPart(slotKey) : NO_SHARE
+    return this.mayUseShares() ? this.divisionTracker.getShare(slotKey) : NO_SHARE
   }
 
   /** @inheritdoc */
   getPlaceShare (placeKey: string): number {
-    return this.mayUseShares() ? this.divisionTracker.getPlacePart(placeKey) : 0
+    return this.mayUseShares() ? this.divisionTracker.getPlaceShare(placeKey) : 0
   }
 
   /** @returns what peers are told: the acknowledged division, the lenders of this node's loans, and recently removed VMs */
   listDocuments (): DocumentVersion[] {
     // Slots lent by an earlier process of this node count as used until it is certain that no peer holds them.
-    const acknowledgedView = this.startBarrier.isOpen ? this.divisionTracker.findAcknowledged(this.computeUsage()) : undefined
-    const lenderIds = this.parts.places.list().flatMap((pool) => pool.ledger.listBorrowed().map((loan) => loan.lenderId))
-    return buildLimitDocuments({ acknowledgedView, lenderIds, listVersion: this.roster.listVersion, removed: this.roster.listGone() })
+    const acknowledgedView = this.startBarrier.isOpen ? this.divisionTracker.findAcknowledgedView(this.computeUsage()) : undefined
+    const lenderIds = this.dependencies.places.list().flatMap((pool) => pool.ledger.listBorrowed().map((loan) => loan.lenderId))
+    return buildLimitDocuments({ acknowledgedView, lenderIds, listVersion: this.roster.listVersion, removed: this.roster.listRemoved() })
   }
 
   /**
@@ -130,13 +130,13 @@
    * @param digest the heartbeat
    * @param isAnswer whether it answers a message of this process
    */
-  observe (digest: Digest, isAnswer: boolean): void {
+  observe (digest: Heartbeat, isAnswer: boolean): void {
     const { nodeId, incarnation } = digest
-    this.divisionTracker.observeProcess({ nodeId, incarnation })
+    this.divisionTracker.recordProcess({ nodeId, incarnation })
     if (!isAnswer) return
     this.recordPeerState(digest)
     const fingerprint = findFingerprint(digest.documents)
-    if (fingerprint !== undefined && this.divisionTracker.observe({ nodeId, incarnation }, fingerprint)) this.applyShares()
+    if (fingerprint !== undefined && this.divisionTracker.recordAcknowledgement({ nodeId, incarnation }, fingerprint)) this.applyShares()
   }
 
   /**
@@ -144,16 +144,16 @@
    * @returns the loan from this node's idle shares
    */
   lend (request: LoanRequest): LoanAnswer {
-    const now = this.parts.clock.now()
+    const now = this.dependencies.clock.now()
     const pool = this.findPool(request.workerId)
-    if (pool === undefined || request.borrowerId === this.parts.selfId) return { loanId: request.loanId, slots: 0, connections: 0, deadline: now }
-    return lendIdle(pool, request, now, this.isLeaving)
+    if (pool === undefined || request.borrowerId === this.dependencies.selfId) return { loanId: request.loanId, slots: 0, connections: 0, deadline: now }
+    return lendIdleSlots(pool, request, now, this.isLeaving)
   }
 
   /** @param loan a loan that the borrower returns early */
   settleReturn (loan: LoanReturn): void {
-    const now = this.parts.clock.now()
-    for (const pool of this.parts.places.list()) {
+    const now = this.dependencies.clock.now()
+    for (const pool of this.dependencies.places.list()) {
       pool.ledger.settleReturn(loan, now)
       pool.applyLedger()
     }
@@ -165,29 +165,29 @@
     this.loanBorrower.close()
   }
 
-  private recordPeerState ({ nodeId, documents }: Digest): void {
-    const { holdsLoan, listVersion, removed } = findPeerLimitState(documents, this.parts.selfId)
+  private recordPeerState ({ nodeId, documents }: Heartbeat): void {
+    const { holdsLoan, listVersion, removed } = findPeerLimitState(documents, this.dependencies.selfId)
     this.startBarrier.observe({ nodeId, holdsLoan, listVersion })
-    if (!this.startBarrier.isOpen) this.roster.holdGone(removed, this.parts.clock.now())
+    if (!this.startBarrier.isOpen) this.roster.addRemoved(removed, this.dependencies.clock.now())
   }
 
   private mayUseShares (): boolean {
-    return this.startBarrier.isOpen && this.roster.mayUseParts(this.parts.selfId, this.parts.clock.now())
+    return this.startBarrier.isOpen && this.roster.mayUseShares(this.dependencies.selfId, this.dependencies.clock.now())
   }
 
   private updateRoster (reading: VmListReading): void {
-    this.roster.observeList(reading.snapshot, reading.requestedAt, this.parts.clock.now())
+    this.roster.observeList(reading.snapshot, reading.requestedAt, this.dependencies.clock.now())
     this.update()
   }
 
   private updateView (): void {
-    const current = this.parts.keeper.current
-    this.roster.step(this.parts.clock.now())
+    const current = this.dependencies.configurationManager.current
+    this.roster.step(this.dependencies.clock.now())
     if (current === undefined || !this.startBarrier.isOpen) return
-    const { selfId, region } = this.parts
+    const { selfId, region } = this.dependencies
     const { listVersion } = this.roster
     const { version, digest } = current.head
-    const members = this.roster.list(region)
+    const members = this.roster.listMembers(region)
     // Dividing computes a hash for each pair of worker and entry VM, so it's done only after a change.
     const key = JSON.stringify([version, digest, listVersion, members])
     if (key === this.viewKey) return
@@ -196,18 +196,18 @@
     const view: DivisionView = buildDivisionView(input)
     if (this.divisionTracker.applyView(view)) {
       this.hasShareChanged = true
-      this.parts.logger.log(LogLevel.Debug, { step: 'divide-limits', listVersion, version, members: view.members.length }, 'divided the limits among the entry VMs')
+      this.dependencies.logger.log(LogLevel.Debug, { step: 'divide-limits', listVersion, version, members: view.members.length }, 'divided the limits among the entry VMs')
     }
   }
 
   private step (): void {
-    const now = this.parts.clock.now()
+    const now = this.dependencies.clock.now()
     this.updateStartBarrier(now)
     this.updateView()
-    this.logListing(this.roster.mayUseParts(this.parts.selfId, now))
+    this.logListing(this.roster.mayUseShares(this.dependencies.selfId, now))
     if (this.hasShareChanged) this.applyShares()
     else this.applyExpiredLoans(now)
-    this.loanBorrower.step(this.parts.places.list())
+    this.loanBorrower.step(this.dependencies.places.list())
     this.exchangeWithPending()
   }
 
@@ -216,24 +216,24 @@
     this.wasListed = isListed
     this.hasShareChanged = true
     const text = isListed ? 'the VM list contains this node' : 'the VM list is too old or no longer contains this node: no request starts on its own shares'
-    this.parts.logger.log(isListed ? LogLevel.Info : LogLevel.Warn, { step: 'divide-limits' }, text)
+    this.dependencies.logger.log(isListed ? LogLevel.Info : LogLevel.Warn, { step: 'divide-limits' }, text)
   }
 
   private updateStartBarrier (now: Instant): void {
-    const listedIds = this.parts.members.listPeers().map(({ vm }) => vm.vmId)
-    const peers = [...listedIds, ...this.roster.listGone().map(({ nodeId }) => nodeId)].filter((nodeId) => nodeId !== this.parts.selfId)
-    this.startBarrier.step(this.roster.listVersion, peers, now, this.roster.policy.holdSpanMs)
+    const listedIds = this.dependencies.members.listPeers().map(({ vm }) => vm.vmId)
+    const peers = [...listedIds, ...this.roster.listRemoved().map(({ nodeId }) => nodeId)].filter((nodeId) => nodeId !== this.dependencies.selfId)
+    this.startBarrier.step(this.roster.listVersion, peers, now, this.roster.policy.removalGraceMs)
   }
 
   private applyExpiredLoans (now: Instant): void {
-    for (const pool of this.parts.places.list()) {
-      if (pool.ledger.removeEnded(now)) this.applyLoans(pool)
+    for (const pool of this.dependencies.places.list()) {
+      if (pool.ledger.removeExpired(now)) this.applyLoans(pool)
     }
   }
 
   private applyShares (): void {
     this.hasShareChanged = false
-    this.parts.places.applyShares(this)
+    this.dependencies.places.applyShares(this)
     this.applyConnections()
   }
 
@@ -243,15 +243,15 @@
   }
 
   private applyConnections (): void {
-    const { places, prober, transport } = this.parts
+    const { places, prober, transport } = this.dependencies
     transport.setWorkers(places.listConnections((address) => prober.isProber(address)))
   }
 
-  private computeUsage (): LimitUse {
+  private computeUsage (): LimitUsage {
     const slots = new Map<string, number>()
     const places = new Map<string, number>()
-    for (const pool of this.parts.places.listWithRemoved()) {
-      for (const [slotKey, count] of pool.ledger.listUse()) {
+    for (const pool of this.dependencies.places.listWithRemoved()) {
+      for (const [slotKey, count] of pool.ledger.listUsage()) {
         const placeKey = findPlaceKey(slotKey)
         slots.set(slotKey, count)
         places.set(placeKey, (places.get(placeKey) ?? 0) + count)
@@ -262,29 +262,29 @@
 
   private findPool (slotKey: string): PlacePool | undefined {
     const [service = '', failureDomain = ''] = findPlaceKey(slotKey).split('/')
-    return this.parts.places.find(service, failureDomain)
+    return this.dependencies.places.find(service, failureDomain)
   }
 
   /** Requests outstanding acknowledgements directly, as heartbeats reach only neighbours. */
   private exchangeWithPending (): void {
     const { buildDigest } = this
     if (this.isClosed || buildDigest === undefined) return
-    const pendingIds = new Set(this.divisionTracker.listMissing())
-    const peers = this.parts.members.listPeers().filter(({ vm }) => pendingIds.has(vm.vmId) || this.startBarrier.isWaitingFor(vm.vmId))
+    const pendingIds = new Set(this.divisionTracker.listPendingMembers())
+    const peers = this.dependencies.members.listPeers().filter(({ vm }) => pendingIds.has(vm.vmId) || this.startBarrier.isWaitingFor(vm.vmId))
     for (const { vm: { vmId, peerAddress } } of peers) {
-      if (peerAddress !== undefined) runDetached(() => this.exchange(peerAddress, buildDigest(vmId)), this.parts.logger, 'exchange-acknowledgements')
+      if (peerAddress !== undefined) runDetached(() => this.exchange(peerAddress, buildDigest(vmId)), this.dependencies.logger, 'exchange-acknowledgements')
     }
   }
 
-  private async exchange (address: string, digest: Digest): Promise<void> {
-    const answer = await this.parts.client.exchange(address, digest, createDeadline(this.parts.clock.now(), CALL_TIMEOUT_MS))
+  private async exchange (address: string, digest: Heartbeat): Promise<void> {
+    const answer = await this.dependencies.client.exchange(address, digest, createDeadline(this.dependencies.clock.now(), CALL_TIMEOUT_MS))
     if (answer.ok && !this.isClosed) this.observe(answer.val, true)
   }
 
   private scheduleStep (): void {
     if (this.isClosed) return
-    const at = createDeadline(this.parts.clock.now(), addJitter(this.parts.random, STEP_INTERVAL_MS, STEP_JITTER_RATIO))
-    this.timer = this.parts.clock.schedule(at, () => {
+    const at = createDeadline(this.dependencies.clock.now(), addJitter(this.dependencies.random, STEP_INTERVAL_MS, STEP_JITTER_RATIO))
+    this.timer = this.dependencies.clock.schedule(at, () => {
       this.step()
       this.scheduleStep()
     })
--- a/packages/daemon/src/node/limits/loanKeeper.ts
+++ b/packages/daemon/src/node/limits/loanBorrower.ts
@@ -10,14 +10,14 @@
 import { runDetached } from '@umberspar/base/common/detached'
 import { type ILogger, logError, LogLevel } from '@umberspar/base/common/logger'
 import { addJitter, type IRandomSource } from '@umberspar/base/common/random'
-import { type BorrowedLoan, CLOCK_RATE_MARGIN, LONGEST_LOAN_SPAN_MS } from '@umberspar/steering/common/limits/loans'
+import { type BorrowedLoan, CLOCK_DRIFT_MARGIN_RATIO, MAX_LOAN_MS } from '@umberspar/steering/common/limits/loans'
 import type { IPeerClient, LoanAnswer, LoanRequest } from '@umberspar/steering/common/ports/peers'
 import { randomUUID } from 'node:crypto'
 import { BorrowState, type PlacePool } from '../places/placePool.js'
 import type { Lender } from './lenderDirectory.js'
 
 /** Dependencies of the borrower. */
-export interface LoanKeeperParts {
+export interface LoanBorrowerDependencies {
   readonly selfId: string
   readonly client: IPeerClient
   readonly clock: IClock
@@ -68,7 +68,7 @@
 }
 
 /** Borrows slots for all places of this node. */
-export class LoanKeeper implements IClosable {
+export class LoanBorrower implements IClosable {
   private readonly rounds = new Map<PlacePool, BorrowRound>()
   private readonly lastUsedAt = new Map<string, Instant>()
   private readonly useEndsAt = new Map<string, Deadline>()
@@ -76,7 +76,7 @@
   private refillAt: Instant = -Infinity
   private isLeaving = false
 
-  constructor (private readonly parts: LoanKeeperParts) {}
+  constructor (private readonly dependencies: LoanBorrowerDependencies) {}
 
   /**
    * Starts a round for a place unless one is running or scheduled; a round that
@@ -87,12 +87,12 @@
     if (this.isLeaving) return
     const round = this.getRound(pool)
     if (round.isRunning || round.timer !== undefined) return
-    const now = this.parts.clock.now()
+    const now = this.dependencies.clock.now()
     if (hasPassed(round.nextAt, now)) {
       this.startRound(pool, round)
       return
     }
-    round.timer = this.parts.clock.schedule(round.nextAt, () => {
+    round.timer = this.dependencies.clock.schedule(round.nextAt, () => {
       round.timer = undefined
       if (pool.waiting > 0 || isNearlyFull(pool)) this.startRound(pool, round)
     })
@@ -103,9 +103,9 @@
    * @param pools the pools of all places
    */
   step (pools: readonly PlacePool[]): void {
-    const now = this.parts.clock.now()
+    const now = this.dependencies.clock.now()
     for (const pool of pools) {
-      if (this.parts.listLenders(pool).length === 0) pool.borrowState = BorrowState.Impossible
+      if (this.dependencies.listLenders(pool).length === 0) pool.borrowState = BorrowState.Impossible
       else if (pool.borrowState === BorrowState.Impossible) pool.borrowState = BorrowState.Possible
       this.returnIdle(pool, now)
       if (pool.slots > 0 && isNearlyFull(pool)) this.borrow(pool)
@@ -140,15 +140,15 @@
       const hasBorrowed = granted.some((isGranted) => isGranted)
       pool.borrowState = hasBorrowed ? BorrowState.Possible : BorrowState.Refused
       round.isRunning = false
-      round.nextAt = createDeadline(this.parts.clock.now(), addJitter(this.parts.random, hasBorrowed ? ROUND_INTERVAL_MS : REFUSED_ROUND_INTERVAL_MS, ROUND_JITTER_RATIO))
-      this.parts.clock.schedule(round.nextAt, () => { pool.borrowState = BorrowState.Possible })
-    }, this.parts.logger, 'borrow-slots')
+      round.nextAt = createDeadline(this.dependencies.clock.now(), addJitter(this.dependencies.random, hasBorrowed ? ROUND_INTERVAL_MS : REFUSED_ROUND_INTERVAL_MS, ROUND_JITTER_RATIO))
+      this.dependencies.clock.schedule(round.nextAt, () => { pool.borrowState = BorrowState.Possible })
+    }, this.dependencies.logger, 'borrow-slots')
   }
 
   private planCalls (pool: PlacePool): BorrowCall[] {
-    const { random } = this.parts
+    const { random } = this.dependencies
     const wantedSlots = Math.min(MAX_WANTED_SLOTS, pool.waiting + pool.takeRefusals() + 1)
-    const lenders = this.parts.listLenders(pool)
+    const lenders = this.dependencies.listLenders(pool)
     const workers = pool.table.list().filter((worker) => !worker.isDraining)
     const pairs = workers.flatMap((worker) => lenders.map((lender) => ({ lender, slotKey: pool.getSlotKey(worker.workerId), order: random.next() })))
     pairs.sort((one, other) => one.order - other.order)
@@ -157,7 +157,7 @@
   }
 
   private takeCallQuota (count: number): number {
-    const now = this.parts.clock.now()
+    const now = this.dependencies.clock.now()
     if (hasPassed(this.refillAt, now)) {
       this.refillAt = createDeadline(now, MS_PER_SECOND)
       this.remainingCalls = MAX_CALLS_PER_SECOND
@@ -168,17 +168,17 @@
   }
 
   private async borrowFrom ({ pool, lender, slotKey, slots }: BorrowCall): Promise<boolean> {
-    const { clock, client, selfId } = this.parts
+    const { clock, client, selfId } = this.dependencies
     const now = clock.now()
     const neededUntil = Math.max(createDeadline(pool.latestDeadline, LOAN_MARGIN_MS), createDeadline(now, MIN_LOAN_MS))
-    const deadline = Math.min(neededUntil, createDeadline(now, LONGEST_LOAN_SPAN_MS))
+    const deadline = Math.min(neededUntil, createDeadline(now, MAX_LOAN_MS))
     const request: LoanRequest = { borrowerId: selfId, loanId: randomUUID(), workerId: slotKey, slots, connections: slots * CONNECTIONS_PER_SLOT, deadline }
     const answer = await client.borrow(lender.address, request, createDeadline(now, CALL_TIMEOUT_MS))
     if (!answer.ok) {
-      logError(this.parts.logger, LogLevel.Debug, answer.val)
+      logError(this.dependencies.logger, LogLevel.Debug, answer.val)
       // The peer may have lent the slots; unless this return reaches it, they stay
       // unused until the loan's deadline.
-      runDetached(() => this.sendReturn(lender.address, request.loanId), this.parts.logger, 'return-loan')
+      runDetached(() => this.sendReturn(lender.address, request.loanId), this.dependencies.logger, 'return-loan')
       return false
     }
     return this.acceptAnswer(pool, lender, request, answer.val, now)
@@ -188,16 +188,16 @@
   private acceptAnswer (pool: PlacePool, lender: Lender, request: LoanRequest, answer: LoanAnswer, sentAt: Instant): boolean {
     if (answer.slots <= 0) return false
     const grantedDeadline = Math.min(answer.deadline, request.deadline)
-    const deadline = grantedDeadline - (grantedDeadline - sentAt) * CLOCK_RATE_MARGIN
+    const deadline = grantedDeadline - (grantedDeadline - sentAt) * CLOCK_DRIFT_MARGIN_RATIO
     const { loanId, slots, connections } = answer
-    pool.ledger.addLoan({ loanId, lender: lender.address, lenderId: lender.nodeId, slotKey: request.workerId, slots, connections, deadline, inUse: 0, isClosing: false })
+    pool.ledger.addLoan({ loanId, lenderAddress: lender.address, lenderId: lender.nodeId, slotKey: request.workerId, slots, connections, deadline, inUse: 0, isClosing: false })
     // A lender lends no slots of a draining worker, so an earlier drain has ended. At a
     // node that doesn't probe the worker, nothing else would clear the drain.
     pool.markReady(request.workerId)
-    const acceptedAt = this.parts.clock.now()
+    const acceptedAt = this.dependencies.clock.now()
     this.lastUsedAt.set(loanId, acceptedAt)
     this.useEndsAt.set(loanId, createDeadline(acceptedAt, MAX_LOAN_USE_MS))
-    this.parts.applyChange(pool)
+    this.dependencies.applyChange(pool)
     return true
   }
 
@@ -205,7 +205,7 @@
     for (const loan of pool.ledger.listBorrowed()) {
       if (!loan.isClosing && hasPassed(this.useEndsAt.get(loan.loanId) ?? now, now)) {
         loan.isClosing = true
-        this.parts.applyChange(pool)
+        this.dependencies.applyChange(pool)
       }
       const lastUsedAt = this.lastUsedAt.get(loan.loanId) ?? now
       if (loan.inUse > 0) this.lastUsedAt.set(loan.loanId, now)
@@ -218,13 +218,13 @@
     pool.ledger.removeLoan(loan.loanId)
     this.lastUsedAt.delete(loan.loanId)
     this.useEndsAt.delete(loan.loanId)
-    this.parts.applyChange(pool)
-    runDetached(() => this.sendReturn(loan.lender, loan.loanId), this.parts.logger, 'return-loan')
+    this.dependencies.applyChange(pool)
+    runDetached(() => this.sendReturn(loan.lenderAddress, loan.loanId), this.dependencies.logger, 'return-loan')
   }
 
   private async sendReturn (address: string, loanId: string): Promise<void> {
-    const returned = await this.parts.client.returnLoan(address, { borrowerId: this.parts.selfId, loanId }, createDeadline(this.parts.clock.now(), CALL_TIMEOUT_MS))
-    if (!returned.ok) logError(this.parts.logger, LogLevel.Debug, returned.val)
+    const returned = await this.dependencies.client.returnLoan(address, { borrowerId: this.dependencies.selfId, loanId }, createDeadline(this.dependencies.clock.now(), CALL_TIMEOUT_MS))
+    if (!returned.ok) logError(this.dependencies.logger, LogLevel.Debug, returned.val)
   }
 }
 
--- a/packages/daemon/src/node/members/memberDirectory.ts
+++ b/packages/daemon/src/node/members/memberDirectory.ts
@@ -10,13 +10,13 @@
 import { Emitter } from '@umberspar/base/common/event'
 import { type ILogger, logError, LogLevel } from '@umberspar/base/common/logger'
 import { addJitter, type IRandomSource } from '@umberspar/base/common/random'
-import { type BelievedList, EMPTY_BELIEVED_LIST, stepBelievedList } from '@umberspar/steering/common/membership/believedList'
+import { type EffectiveVmList, EMPTY_EFFECTIVE_VM_LIST, updateEffectiveVmList } from '@umberspar/steering/common/membership/effectiveVmList'
 import type { MemberReport } from '@umberspar/steering/common/membership/memberReport'
 import { MemberTable } from '@umberspar/steering/common/membership/memberTable'
 import type { DemandReport, DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
 import { type IVmList, type VmEntry, type VmListSnapshot, VmRole, VmState } from '@umberspar/steering/common/ports/vmList'
-import { SMALL_FLEET } from '@umberspar/steering/common/spread/neighbours'
-import type { SpreadNode } from '@umberspar/steering/common/spread/spreadNode'
+import { MAX_SMALL_FLEET_VMS } from '@umberspar/steering/common/gossip/neighbours'
+import type { NodeLocation } from '@umberspar/steering/common/gossip/nodeLocation'
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
 
 const MIN_POLL_INTERVAL_MS = 1000
@@ -80,7 +80,7 @@
   private readonly firstReportDeadlines = new Map<string, Deadline>()
   private readonly didChange = new Emitter<void>()
   private readonly didRead = new Emitter<VmListReading>()
-  private effectiveList: BelievedList = EMPTY_BELIEVED_LIST
+  private effectiveList: EffectiveVmList = EMPTY_EFFECTIVE_VM_LIST
   private pollTimer: ITimer | undefined
   private isClosed = false
 
@@ -101,8 +101,8 @@
   }
 
   /** @returns whether the platform's list has been read at least once */
-  get isListed (): boolean {
-    return this.effectiveList !== EMPTY_BELIEVED_LIST
+  get hasReadList (): boolean {
+    return this.effectiveList !== EMPTY_EFFECTIVE_VM_LIST
   }
 
   /** Reads the list now and then periodically. */
@@ -131,7 +131,7 @@
   }
 
   /** @returns the nodes to which documents are pushed: this node and those that are neither leaving nor suspected */
-  listActive (): SpreadNode[] {
+  listActive (): NodeLocation[] {
     const members = this.list().filter((member) => member.vm.vmId === this.selfId || isActive(computeMemberState(member)))
     return members.map(({ vm }) => ({ nodeId: vm.vmId, region: vm.region }))
   }
@@ -176,7 +176,7 @@
 
   /** @returns reports of other nodes to relay in a digest */
   listRelayed (): MemberReport[] {
-    return this.table.listRelayed(this.clock.now())
+    return this.table.listReportsToRelay(this.clock.now())
   }
 
   /**
@@ -185,10 +185,10 @@
    */
   markSilentMembers (ring: readonly string[]): void {
     const now = this.clock.now()
-    this.table.updateSize(this.effectiveList.vms.size, ring)
-    const silent = this.table.markSilent(now)
+    this.table.updateFleetSize(this.effectiveList.vms.size, ring)
+    const silent = this.table.markSuspected(now)
     const overdueCount = this.countNewlyOverdue(now)
-    this.table.removeGone((nodeId) => this.effectiveList.vms.has(nodeId), now)
+    this.table.removeExpired((nodeId) => this.effectiveList.vms.has(nodeId), now)
     for (const nodeId of silent) this.logger.log(LogLevel.Warn, { step: 'suspect-peer', peer: nodeId }, 'suspecting a peer that has been silent beyond its deadline')
     if (silent.length > 0 || overdueCount > 0) this.didChange.fire()
   }
@@ -238,11 +238,11 @@
     const previous = this.effectiveList
     const entries = vms.filter((vm) => vm.role === VmRole.Entry)
     const isResponding = (vmId: string): boolean => vmId === this.selfId || (this.table.get(vmId) !== undefined && !this.table.isSuspected(vmId, now))
-    this.effectiveList = stepBelievedList(previous, { version, vms: entries }, { now, isHeard: isResponding })
+    this.effectiveList = updateEffectiveVmList(previous, { version, vms: entries }, { now, isResponding })
     if (this.effectiveList.resetAt !== undefined) return
     this.updateUpstreams(vms)
     this.updateFirstReportDeadlines(now)
-    if (previous === EMPTY_BELIEVED_LIST || previous.version !== version || previous.vms.size !== this.effectiveList.vms.size) this.didChange.fire()
+    if (previous === EMPTY_EFFECTIVE_VM_LIST || previous.version !== version || previous.vms.size !== this.effectiveList.vms.size) this.didChange.fire()
   }
 
   private updateUpstreams (vms: readonly VmEntry[]): void {
@@ -277,7 +277,7 @@
 
   private schedulePoll (): void {
     if (this.isClosed) return
-    const intervalMs = Math.min(MAX_POLL_INTERVAL_MS, MIN_POLL_INTERVAL_MS * Math.max(1, this.effectiveList.vms.size / SMALL_FLEET))
+    const intervalMs = Math.min(MAX_POLL_INTERVAL_MS, MIN_POLL_INTERVAL_MS * Math.max(1, this.effectiveList.vms.size / MAX_SMALL_FLEET_VMS))
     const at = createDeadline(this.clock.now(), addJitter(this.random, intervalMs, POLL_JITTER_RATIO))
     this.pollTimer = this.clock.schedule(at, () => {
       runDetached(() => this.update().finally(() => this.schedulePoll()), this.logger, 'read-vm-list')
--- a/packages/daemon/src/node/operators/drainStatus.ts
+++ b/packages/daemon/src/node/operators/drainStatus.ts
@@ -2,7 +2,7 @@
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import { findRegion } from '@umberspar/steering/common/configuration/findRegion'
 import type { PlaceDirectory } from '../places/placeDirectory.js'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import type { PlanFollower } from '../places/planFollower.js'
 
 /** What is drained. */
 export enum DrainKind {
@@ -33,7 +33,7 @@
  * @param plans the weights that this node's plans assign
  * @returns the progress of every configured drain
  */
-export function listDrains (configuration: SteeringConfiguration, places: PlaceDirectory, plans: PlanKeeper): DrainStatus[] {
+export function listDrains (configuration: SteeringConfiguration, places: PlaceDirectory, plans: PlanFollower): DrainStatus[] {
   const { failureDomains, regions, places: placeDrains } = configuration.drains
   const buildFor = (kind: DrainKind, target: string, isIncluded: PlacePredicate): DrainStatus => buildStatus(kind, target, isIncluded, places, plans)
   return [
@@ -44,9 +44,9 @@
   ]
 }
 
-function buildStatus (kind: DrainKind, target: string, isIncluded: PlacePredicate, places: PlaceDirectory, plans: PlanKeeper): DrainStatus {
+function buildStatus (kind: DrainKind, target: string, isIncluded: PlacePredicate, places: PlaceDirectory, plans: PlanFollower): DrainStatus {
   const pools = places.list().filter((pool) => isIncluded(pool.key.service, pool.key.failureDomain))
-  const weights = pools.map((pool) => plans.computeWeight(pool.key.service, pool.key.failureDomain))
+  const weights = pools.map((pool) => plans.computeMeanWeight(pool.key.service, pool.key.failureDomain))
   const weight = Math.max(0, ...weights)
   const inFlight = pools.reduce((sum, pool) => sum + pool.inFlight + pool.waiting, 0)
   return { kind, target, weight, inFlight, isSafeToStop: weight === 0 && inFlight === 0 }
--- a/packages/daemon/src/node/operators/operatorViews.ts
+++ b/packages/daemon/src/node/operators/operatorViews.ts
@@ -23,7 +23,7 @@
     isReady: () => getReadiness(parts),
     getStatus: () => getStatus(settings, parts),
     getFleet: () => ({ nodes: parts.members.list().map((member) => getFleetNode(settings, parts, member)) }),
-    getConfiguration: () => parts.keeper.current,
+    getConfiguration: () => parts.configurationManager.current,
     listHistory: async () => {
       const history = await parts.configurations.listHistory(createReadDeadline())
       return history.ok ? { entries: history.val } : history.val
@@ -31,7 +31,7 @@
     readVersion: (version) => readVersion(parts, version, createReadDeadline()),
     predictDrain: (configuration) => parts.drainPlanner.predict(configuration),
     listDrains: () => {
-      const current = parts.keeper.current
+      const current = parts.configurationManager.current
       return { drains: current === undefined ? [] : listDrains(current.body, parts.places, parts.plans) }
     },
     getBurn: () => getBurn(parts, clock)
@@ -39,8 +39,8 @@
 }
 
 function getReadiness (parts: DaemonParts): { isReady: boolean, reason: string } {
-  if (parts.keeper.current === undefined) return { isReady: false, reason: `no configuration yet: ${parts.watcher.getFailureReason()}` }
-  if (!parts.members.isListed) return { isReady: false, reason: 'the VM list has not been read yet' }
+  if (parts.configurationManager.current === undefined) return { isReady: false, reason: `no configuration yet: ${parts.watcher.getFailureReason()}` }
+  if (!parts.members.hasReadList) return { isReady: false, reason: 'the VM list has not been read yet' }
   if (parts.peerService.state !== NodeState.Live) return { isReady: false, reason: `this node is ${parts.peerService.state}` }
   return { isReady: true, reason: 'serving' }
 }
@@ -51,26 +51,26 @@
     region: settings.region,
     failureDomain: settings.failureDomain,
     state: parts.peerService.state,
-    configurationVersion: parts.keeper.version,
-    highestVersionSeen: parts.keeper.highestSeen,
+    configurationVersion: parts.configurationManager.version,
+    highestVersionSeen: parts.configurationManager.highestReportedVersion,
     spread: parts.watcher.getStatus(),
     inFlight: parts.requests.inFlight,
     isPlanSettled: parts.plans.isSettled,
     planEpoch: parts.planHolder.epoch,
     plans: parts.plans.listServices().map((service) => ({
       service,
-      agreedVersion: parts.plans.findAgreed(service)?.version ?? 0,
+      agreedVersion: parts.plans.findAgreedPlan(service)?.version ?? 0,
       inForceVersion: parts.plans.find(service)?.inForceVersion ?? 0,
       isAway: parts.plans.find(service)?.isAway ?? false,
-      demand: parts.board.getDemand(service),
-      failed: [...parts.board.listFailed(service)]
+      demand: parts.measurementCollector.getDemand(service),
+      failed: [...parts.measurementCollector.listFailed(service)]
     })),
     places: parts.places.list().map((pool) => ({
       ...pool.key,
       slots: pool.slots,
       inFlight: pool.inFlight,
       waiting: pool.waiting,
-      weight: parts.plans.computeWeight(pool.key.service, pool.key.failureDomain)
+      weight: parts.plans.computeMeanWeight(pool.key.service, pool.key.failureDomain)
     }))
   }
 }
@@ -84,7 +84,7 @@
     state: isSelf ? parts.peerService.state : computeMemberState(member),
     callersAddress: member.vm.address,
     operatorAddress: member.vm.operatorAddress ?? '',
-    configurationVersion: isSelf ? parts.keeper.version : member.configurationVersion
+    configurationVersion: isSelf ? parts.configurationManager.version : member.configurationVersion
   }
 }
 
@@ -98,7 +98,7 @@
 }
 
 function getBurn (parts: DaemonParts, clock: IClock): object {
-  const services = parts.keeper.current?.body.services ?? {}
+  const services = parts.configurationManager.current?.body.services ?? {}
   const now = clock.now()
   return {
     services: Object.fromEntries(Object.entries(services).map(([name, service]) =>
--- a/packages/daemon/src/node/peers/documentSpreader.ts
+++ b/packages/daemon/src/node/peers/configurationPublisher.ts
@@ -9,42 +9,42 @@
 import { runDetached } from '@umberspar/base/common/detached'
 import { type ILogger, logError, LogLevel } from '@umberspar/base/common/logger'
 import type { IPeerClient, PeerDocument } from '@umberspar/steering/common/ports/peers'
-import { choosePushTargets, type PushRoute, PushScope } from '@umberspar/steering/common/spread/pushTree'
-import type { SpreadNode } from '@umberspar/steering/common/spread/spreadNode'
-import { type ConfigurationKeeper, type LearnedConfiguration, LearnSource } from '../configuration/configurationKeeper.js'
+import { choosePushTargets, type PushRoute, PushScope } from '@umberspar/steering/common/gossip/pushTree'
+import type { NodeLocation } from '@umberspar/steering/common/gossip/nodeLocation'
+import { type ConfigurationManager, type ReceivedConfiguration, ConfigurationSource } from '../configuration/configurationManager.js'
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import { encodeDocument } from './peerService.js'
 
 const PUSH_TIMEOUT_MS = 4000
 
 /** Push scope by the source of a configuration. One that was itself received by push is forwarded along that push's route. */
-const SCOPE_BY_SOURCE: Readonly<Record<Exclude<LearnSource, LearnSource.Push>, PushScope>> = {
+const SCOPE_BY_SOURCE: Readonly<Record<Exclude<ConfigurationSource, ConfigurationSource.Push>, PushScope>> = {
   // Watchers in other regions may be disconnected from the store.
-  [LearnSource.Operator]: PushScope.Global,
-  [LearnSource.Store]: PushScope.Region,
-  [LearnSource.Digest]: PushScope.Region
+  [ConfigurationSource.Operator]: PushScope.Global,
+  [ConfigurationSource.Store]: PushScope.Region,
+  [ConfigurationSource.Digest]: PushScope.Region
 }
 
 /** Pushes new configurations to peers. */
-export class DocumentSpreader implements IClosable {
+export class ConfigurationPublisher implements IClosable {
   private readonly subscription: IClosable
 
   constructor (
-    private readonly self: SpreadNode,
+    private readonly self: NodeLocation,
     private readonly client: IPeerClient,
     private readonly members: MemberDirectory,
-    keeper: ConfigurationKeeper,
+    configurationManager: ConfigurationManager,
     private readonly clock: IClock,
     private readonly logger: ILogger
   ) {
-    this.subscription = keeper.onDidLearn((learned) => runDetached(() => this.push(learned), logger, 'push-configuration'))
+    this.subscription = configurationManager.onDidReceive((learned) => runDetached(() => this.push(learned), logger, 'push-configuration'))
   }
 
   close (): void {
     this.subscription.close()
   }
 
-  private async push (learned: LearnedConfiguration): Promise<void> {
+  private async push (learned: ReceivedConfiguration): Promise<void> {
     const route = this.chooseRoute(learned)
     if (route === undefined) return
     const targets = choosePushTargets(this.members.listActive(), this.self, route)
@@ -52,8 +52,8 @@
     await Promise.all(targets.map((nodeId) => this.pushTo(nodeId, document)))
   }
 
-  private chooseRoute ({ origin }: LearnedConfiguration): PushRoute | undefined {
-    if (origin.source === LearnSource.Push) return origin.route
+  private chooseRoute ({ origin }: ReceivedConfiguration): PushRoute | undefined {
+    if (origin.source === ConfigurationSource.Push) return origin.route
     return { originId: this.self.nodeId, scope: SCOPE_BY_SOURCE[origin.source] }
   }
 
--- a/packages/daemon/src/node/peers/documentRegistry.ts
+++ b/packages/daemon/src/node/peers/documentRegistry.ts
@@ -3,7 +3,7 @@
  * here; their documents are then announced, fetched and pushed with heartbeats.
  */
 import type { DemandReport, DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
-import type { Digest, PeerDocument } from '@umberspar/steering/common/ports/peers'
+import type { Heartbeat, PeerDocument } from '@umberspar/steering/common/ports/peers'
 
 /** Provides and accepts the documents of certain names. */
 export interface IDocumentSource {
@@ -24,7 +24,7 @@
   /** @returns this node's demand for its heartbeat */
   listDemand(): readonly DemandReport[]
   /** Records a peer's heartbeat. */
-  observe(digest: Digest): void
+  observe(digest: Heartbeat): void
 }
 
 /** Holds all sources and observers of a daemon. */
@@ -53,7 +53,7 @@
   }
 
   /** @param digest a peer's heartbeat */
-  observe (digest: Digest): void {
+  observe (digest: Heartbeat): void {
     for (const observer of this.observers) observer.observe(digest)
   }
 
@@ -73,7 +73,7 @@
    * @param digest a peer's heartbeat
    * @returns names and local versions of the documents to fetch from the peer
    */
-  listDocumentsToFetch (digest: Digest): Array<{ readonly name: string, readonly aboveVersion: number }> {
+  listDocumentsToFetch (digest: Heartbeat): Array<{ readonly name: string, readonly aboveVersion: number }> {
     return digest.documents
       .filter((remote) => this.sources.some((source) => source.shouldFetch(remote)))
       .map(({ name }) => ({ name, aboveVersion: this.get(name)?.document.version ?? 0 }))
@@ -83,7 +83,7 @@
    * @param digest a peer's heartbeat
    * @returns documents to push to the peer because it has none or an older version
    */
-  listDocumentsToPush (digest: Digest): PeerDocument[] {
+  listDocumentsToPush (digest: Heartbeat): PeerDocument[] {
     const remoteByName = new Map(digest.documents.map((document) => [document.name, document]))
     return this.sources.flatMap((source) => source.list()
       .filter((local) => source.shouldPush(local, remoteByName.get(local.name)))
--- a/packages/daemon/src/node/peers/heartbeats.ts
+++ b/packages/daemon/src/node/peers/heartbeats.ts
@@ -8,10 +8,10 @@
 import { runDetached } from '@umberspar/base/common/detached'
 import { type ILogger, logError, LogLevel } from '@umberspar/base/common/logger'
 import { addJitter, type IRandomSource } from '@umberspar/base/common/random'
-import type { Digest, IPeerClient, PeerDocument } from '@umberspar/steering/common/ports/peers'
-import { chooseNeighbours, computeRoundSpan, type Neighbours, SMALL_FLEET } from '@umberspar/steering/common/spread/neighbours'
-import type { SpreadNode } from '@umberspar/steering/common/spread/spreadNode'
-import { type ConfigurationKeeper, LearnSource } from '../configuration/configurationKeeper.js'
+import type { Heartbeat, IPeerClient, PeerDocument } from '@umberspar/steering/common/ports/peers'
+import { chooseNeighbours, computeRoundIntervalMs, type Neighbours, MAX_SMALL_FLEET_VMS } from '@umberspar/steering/common/gossip/neighbours'
+import type { NodeLocation } from '@umberspar/steering/common/gossip/nodeLocation'
+import { type ConfigurationManager, ConfigurationSource } from '../configuration/configurationManager.js'
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import type { DocumentRegistry } from './documentRegistry.js'
 import { CONFIGURATION_DOCUMENT, decodeDocument, encodeDocument, type PeerService } from './peerService.js'
@@ -26,11 +26,11 @@
   private isClosed = false
 
   constructor (
-    private readonly self: SpreadNode,
+    private readonly self: NodeLocation,
     private readonly client: IPeerClient,
     private readonly service: PeerService,
     private readonly members: MemberDirectory,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly configurationManager: ConfigurationManager,
     private readonly registry: DocumentRegistry,
     private readonly clock: IClock,
     private readonly random: IRandomSource,
@@ -50,7 +50,7 @@
     this.service.startRound()
     this.members.markSilentMembers(neighbours.ring)
     await Promise.all([...neighbours.ring, ...neighbours.random].map((nodeId) => this.sendTo(nodeId)))
-    if (this.members.list().length > SMALL_FLEET) this.closeRandomNeighbours(neighbours)
+    if (this.members.list().length > MAX_SMALL_FLEET_VMS) this.closeRandomNeighbours(neighbours)
   }
 
   /**
@@ -98,8 +98,8 @@
     }
     const peerVersion = this.service.observe(answer.val, true)
     await this.exchangeDocuments(address, answer.val)
-    if (peerVersion > this.keeper.version) await this.fetchConfiguration(address)
-    else if (peerVersion < this.keeper.version) await this.pushConfiguration(address)
+    if (peerVersion > this.configurationManager.version) await this.fetchConfiguration(address)
+    else if (peerVersion < this.configurationManager.version) await this.pushConfiguration(address)
     return true
   }
 
@@ -117,11 +117,11 @@
   /** Exchanges digests with all nodes of a small fleet, or with this round's neighbours in a large one. */
   async exchangeWithAll (): Promise<void> {
     const others = this.members.list().filter(({ vm }) => vm.vmId !== this.self.nodeId)
-    if (others.length > SMALL_FLEET) await this.sendRound()
+    if (others.length > MAX_SMALL_FLEET_VMS) await this.sendRound()
     else await Promise.all(others.map(({ vm }) => this.sendTo(vm.vmId)))
   }
 
-  private async exchangeDocuments (address: string, remote: Digest): Promise<void> {
+  private async exchangeDocuments (address: string, remote: Heartbeat): Promise<void> {
     for (const { name, aboveVersion } of this.registry.listDocumentsToFetch(remote)) {
       const fetched = await this.client.fetch(address, name, aboveVersion, this.createCallDeadline())
       if (!fetched.ok) logError(this.logger, LogLevel.Warn, fetched.val)
@@ -136,13 +136,13 @@
   }
 
   private async fetchConfiguration (address: string): Promise<void> {
-    const fetched = await this.client.fetch(address, CONFIGURATION_DOCUMENT, this.keeper.version, this.createCallDeadline())
+    const fetched = await this.client.fetch(address, CONFIGURATION_DOCUMENT, this.configurationManager.version, this.createCallDeadline())
     if (!fetched.ok) logError(this.logger, LogLevel.Warn, fetched.val)
-    else if (fetched.val !== undefined) this.keeper.apply(decodeDocument(fetched.val), address, { source: LearnSource.Digest })
+    else if (fetched.val !== undefined) this.configurationManager.apply(decodeDocument(fetched.val), address, { source: ConfigurationSource.Digest })
   }
 
   private async pushConfiguration (address: string): Promise<void> {
-    const current = this.keeper.currentText
+    const current = this.configurationManager.currentText
     if (current === undefined) return
     const pushed = await this.client.push(address, encodeDocument(current), this.createCallDeadline())
     if (!pushed.ok) logError(this.logger, LogLevel.Warn, pushed.val)
@@ -162,7 +162,7 @@
 
   private scheduleRound (): void {
     if (this.isClosed) return
-    const intervalMs = computeRoundSpan(this.members.list().length)
+    const intervalMs = computeRoundIntervalMs(this.members.list().length)
     const at = createDeadline(this.clock.now(), addJitter(this.random, intervalMs, HEARTBEAT_JITTER_RATIO))
     this.timer = this.clock.schedule(at, () => {
       // The next round doesn't wait for this one, so that a peer that doesn't answer can't delay heartbeats.
--- a/packages/daemon/src/node/peers/peerService.ts
+++ b/packages/daemon/src/node/peers/peerService.ts
@@ -5,11 +5,11 @@
 import type { IClock } from '@umberspar/base/common/clock'
 import type { MemberReport } from '@umberspar/steering/common/membership/memberReport'
 import type { AnnouncedState, DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
-import type { Digest, IPeerService, LoanAnswer, LoanRequest, LoanReturn, PeerDocument } from '@umberspar/steering/common/ports/peers'
+import type { Heartbeat, IPeerService, LoanAnswer, LoanRequest, LoanReturn, PeerDocument } from '@umberspar/steering/common/ports/peers'
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
-import { type ConfigurationKeeper, type ConfigurationText, LearnSource } from '../configuration/configurationKeeper.js'
+import { type ConfigurationManager, type SerializedConfiguration, ConfigurationSource } from '../configuration/configurationManager.js'
 import { isLimitDocument } from '../limits/limitDocuments.js'
-import type { LimitKeeper } from '../limits/limitKeeper.js'
+import type { LimitManager } from '../limits/limitManager.js'
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import type { WorkerReports } from '../places/workerReports.js'
 import type { DocumentRegistry } from './documentRegistry.js'
@@ -34,10 +34,10 @@
 
   constructor (
     private readonly identity: NodeIdentity,
-    private readonly keeper: ConfigurationKeeper,
+    private readonly configurationManager: ConfigurationManager,
     private readonly members: MemberDirectory,
     private readonly reports: WorkerReports,
-    private readonly limits: LimitKeeper,
+    private readonly limits: LimitManager,
     private readonly registry: DocumentRegistry,
     private readonly clock: IClock
   ) {}
@@ -49,7 +49,7 @@
 
   /** @returns the documents that this node has, with their versions */
   listDocuments (): DocumentVersion[] {
-    const head = this.keeper.current?.head
+    const head = this.configurationManager.current?.head
     const configuration = head === undefined ? [] : [{ name: CONFIGURATION_DOCUMENT, ...head }]
     return [...configuration, ...this.limits.listDocuments(), ...this.registry.list()]
   }
@@ -58,7 +58,7 @@
    * @param peerId the receiving peer
    * @returns this node's heartbeat
    */
-  buildDigest (peerId: string): Digest {
+  buildDigest (peerId: string): Heartbeat {
     return {
       ...this.identity,
       beat: this.beat,
@@ -67,7 +67,7 @@
       workers: this.reports.listFor(peerId),
       demand: this.registry.listDemand(),
       members: this.members.listRelayed(),
-      confirmedAt: this.keeper.confirmedAt
+      confirmedAt: this.configurationManager.confirmedAt
     }
   }
 
@@ -77,33 +77,33 @@
    * @param isAnswer whether it answers a heartbeat of this node
    * @returns the configuration version that the peer has
    */
-  observe (digest: Digest, isAnswer: boolean): number {
+  observe (digest: Heartbeat, isAnswer: boolean): number {
     this.limits.observe(digest, isAnswer)
     const version = digest.documents.find((document) => document.name === CONFIGURATION_DOCUMENT)?.version ?? 0
     this.members.observeReports([toMemberReport(digest), ...digest.members])
     // Patches wait until this node has the highest version seen; an unlisted node must not be able to block them.
-    if (this.members.get(digest.nodeId) !== undefined) this.keeper.observePeer(version, digest.confirmedAt, this.clock.now())
+    if (this.members.get(digest.nodeId) !== undefined) this.configurationManager.observePeer(version, digest.confirmedAt, this.clock.now())
     this.reports.observe(digest.workers)
     this.registry.observe(digest)
     return version
   }
 
-  exchange (digest: Digest): Digest {
+  exchange (digest: Heartbeat): Heartbeat {
     this.observe(digest, false)
     return this.buildDigest(digest.nodeId)
   }
 
   fetch (name: string, aboveVersion: number): PeerDocument | undefined {
     if (name !== CONFIGURATION_DOCUMENT) return this.fetchRegistered(name, aboveVersion)
-    const current = this.keeper.currentText
+    const current = this.configurationManager.currentText
     if (current === undefined) return undefined
     return current.head.version > aboveVersion ? encodeDocument(current) : undefined
   }
 
   async push (document: PeerDocument): Promise<number> {
     if (document.document.name !== CONFIGURATION_DOCUMENT) return this.registry.apply(document, 'peer')
-    this.keeper.apply(decodeDocument(document), 'peer', { source: LearnSource.Push, route: document.route })
-    return this.keeper.version
+    this.configurationManager.apply(decodeDocument(document), 'peer', { source: ConfigurationSource.Push, route: document.route })
+    return this.configurationManager.version
   }
 
   borrow (request: LoanRequest): LoanAnswer {
@@ -120,7 +120,7 @@
   }
 }
 
-function toMemberReport (digest: Digest): MemberReport {
+function toMemberReport (digest: Heartbeat): MemberReport {
   const { nodeId, incarnation, beat, state, demand } = digest
   // Documents on limits are valid only from the node itself. Loans change with the
   // traffic; if they were relayed, each change would spread the report to the whole
@@ -133,7 +133,7 @@
  * @param configuration head and text of a configuration
  * @returns the document that is sent to peers
  */
-export function encodeDocument (configuration: ConfigurationText): PeerDocument {
+export function encodeDocument (configuration: SerializedConfiguration): PeerDocument {
   return {
     document: { name: CONFIGURATION_DOCUMENT, ...configuration.head },
     body: new TextEncoder().encode(configuration.text)
@@ -144,7 +144,7 @@
  * @param document a configuration from a peer
  * @returns its head and text, not yet validated
  */
-export function decodeDocument (document: PeerDocument): ConfigurationText {
+export function decodeDocument (document: PeerDocument): SerializedConfiguration {
   const { version, changeId, digest } = document.document
   return { head: { version, changeId, digest }, text: new TextDecoder().decode(document.body) }
 }
--- a/packages/daemon/src/node/places/admissionQueue.ts
+++ b/packages/daemon/src/node/places/admissionQueue.ts
@@ -9,22 +9,22 @@
 import { createDeadline, type Deadline, getRemainingMs } from '@umberspar/base/common/deadline'
 import { RequestKind } from '@umberspar/steering/common/configuration/configurationSchema'
 import { AdmissionError } from '@umberspar/steering/common/limits/admissionError'
-import { type ByKind, computeKindLimits, computeShare } from '@umberspar/steering/common/limits/kindLimits'
+import { type ByKind, computeKindLimits, computeGuaranteedSlots } from '@umberspar/steering/common/limits/kindLimits'
 import { WaitEstimate } from '@umberspar/steering/common/limits/waitEstimate'
 import PQueue from 'p-queue'
 
 /** Limits on the waiting of requests. */
 export interface AdmissionPolicy {
   /** Maximum wait of any request, whatever its deadline, in milliseconds. */
-  readonly longestWaitMs: number
+  readonly maxWaitMs: number
   /** Maximum ratio of a request's estimated wait to its maximum wait; the rest is a margin for estimates that are too low. */
-  readonly estimatePart: number
+  readonly maxEstimateRatio: number
   /** Overrides the configured maximum length of the queue. */
   readonly maxQueue?: number
 }
 
 /** The policy unless another one is given. */
-export const DEFAULT_ADMISSION_POLICY: AdmissionPolicy = { longestWaitMs: 1000, estimatePart: 0.5 }
+export const DEFAULT_ADMISSION_POLICY: AdmissionPolicy = { maxWaitMs: 1000, maxEstimateRatio: 0.5 }
 
 /** Retry-After if the wait can't be estimated. */
 const DEFAULT_RETRY_AFTER_MS = 1000
@@ -89,9 +89,9 @@
     if (slots > this.running && this.waiting === 0) return undefined
     const waitMs = slots <= 0 ? 0 : this.estimateWaitMs(request)
     if (this.waiting >= (this.policy.maxQueue ?? this.maxQueue)) return this.createError(`the queue is full with ${this.waiting} waiting requests`, waitMs)
-    const meanHoldMs = this.estimate.getMeanSpanMs(request.kind)
+    const meanHoldMs = this.estimate.getMeanHoldMs(request.kind)
     const remainingWaitMs = getRemainingMs(request.deadline, this.clock.now()) - meanHoldMs
-    const { estimatePart, longestWaitMs } = this.policy
+    const { maxEstimateRatio: estimatePart, maxWaitMs: longestWaitMs } = this.policy
     if (waitMs <= estimatePart * Math.min(longestWaitMs, remainingWaitMs)) return undefined
     return this.createError('no slot is expected to become free in time', waitMs)
   }
@@ -106,7 +106,7 @@
     const { kind, priority, signal } = request
     const waitController = new AbortController()
     const cancel = (): void => waitController.abort()
-    const waitDeadline = Math.min(request.deadline, createDeadline(this.clock.now(), this.policy.longestWaitMs))
+    const waitDeadline = Math.min(request.deadline, createDeadline(this.clock.now(), this.policy.maxWaitMs))
     const timer = this.clock.schedule(waitDeadline, cancel)
     signal.addEventListener('abort', cancel, { once: true })
     this.countWaiting(kind, priority, 1)
@@ -164,8 +164,8 @@
     for (const [priority, count] of this.waitingByPriority[request.kind]) {
       if (priority <= request.priority) ahead += count
     }
-    const isBelowGuarantee = this.inUse[request.kind] < computeShare(this.limits.countSlots(), request.kind)
-    return this.estimate.estimateWaitMs({ kind: request.kind, ahead, inUse: this.inUse, isOwed: isBelowGuarantee })
+    const isBelowGuarantee = this.inUse[request.kind] < computeGuaranteedSlots(this.limits.countSlots(), request.kind)
+    return this.estimate.estimateWaitMs({ kind: request.kind, ahead, inUse: this.inUse, isBelowGuarantee })
   }
 
   private computeLimits (): ByKind {
--- a/packages/daemon/src/node/places/placeDirectory.ts
+++ b/packages/daemon/src/node/places/placeDirectory.ts
@@ -75,8 +75,8 @@
   /** @returns all pools, including those that are no longer configured but have slots in use */
   listWithRemoved (): PlacePool[] {
     for (const pool of this.removedPools) {
-      pool.ledger.removeEnded(this.clock.now())
-      if (pool.ledger.listUse().size === 0) this.removedPools.delete(pool)
+      pool.ledger.removeExpired(this.clock.now())
+      if (pool.ledger.listUsage().size === 0) this.removedPools.delete(pool)
     }
     return [...this.pools.values(), ...this.removedPools]
   }
@@ -145,7 +145,7 @@
     const existing = this.pools.get(name)
     if (existing !== undefined) return existing
     const pool = new PlacePool({ service, failureDomain }, this.clock, this.random, warmUpSpanMs, this.admission)
-    pool.onDidLack((source) => this.didRunOut.fire(source))
+    pool.onDidRunOut((source) => this.didRunOut.fire(source))
     this.pools.set(name, pool)
     return pool
   }
--- a/packages/daemon/src/node/places/placePool.ts
+++ b/packages/daemon/src/node/places/placePool.ts
@@ -14,7 +14,7 @@
 import type { PlaceConfiguration, WorkerConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import { AdmissionError } from '@umberspar/steering/common/limits/admissionError'
 import type { SlotShare } from '@umberspar/steering/common/limits/divideSlots'
-import type { TakenSlot } from '@umberspar/steering/common/limits/loans'
+import type { AcquiredSlot } from '@umberspar/steering/common/limits/loans'
 import { DemandMean } from '@umberspar/steering/common/limits/demandMean'
 import { PlaceLedger } from '@umberspar/steering/common/limits/placeLedger'
 import { buildPlaceKey, buildSlotKey } from '@umberspar/steering/common/limits/slotKey'
@@ -54,7 +54,7 @@
   borrowState = BorrowState.Impossible
 
   /** Fires when a request finds no free slot. */
-  readonly onDidLack = this.didRunOut.event
+  readonly onDidRunOut = this.didRunOut.event
 
   constructor (
     readonly key: PlaceKey,
@@ -63,7 +63,7 @@
     warmUpSpanMs: number,
     admission?: AdmissionPolicy
   ) {
-    this.table = new WorkerTable({ ...DEFAULT_WORKER_POLICY, warmUpSpanMs })
+    this.table = new WorkerTable({ ...DEFAULT_WORKER_POLICY, warmUpMs: warmUpSpanMs })
     this.queue = new AdmissionQueue(buildPlaceKey(key.service, key.failureDomain), clock, {
       countSlots: () => this.countUsableSlots(),
       mayBorrow: () => this.borrowState === BorrowState.Possible
@@ -140,14 +140,14 @@
    */
   update (shares: ReadonlyMap<string, SlotShare>, placeShare: number, maxQueue: number): void {
     this.queue.maxQueue = maxQueue
-    this.ledger.setParts(shares, placeShare)
+    this.ledger.setShares(shares, placeShare)
     this.applyLedger()
   }
 
   /** Applies changes of the ledger, such as new or expired loans. */
   applyLedger (): void {
     const now = this.clock.now()
-    this.ledger.removeEnded(now)
+    this.ledger.removeExpired(now)
     const workers = new Map(Object.entries(this.workers).map(([workerId, worker]) =>
       [workerId, { address: worker.address, slots: this.ledger.countSlots(this.getSlotKey(workerId), now) }]))
     this.table.updateWorkers(workers, now)
@@ -220,13 +220,13 @@
     return Math.min(usableSlots + slotsStillInUse, this.ledger.countPlaceSlots(now))
   }
 
-  private reserveSlot (request: SlotRequest, now: Instant): Result<{ workerId: string, slot: TakenSlot }, StepError> {
+  private reserveSlot (request: SlotRequest, now: Instant): Result<{ workerId: string, slot: AcquiredSlot }, StepError> {
     if (request.signal.aborted) return new Err(this.createError(ErrorCode.Cancelled, 'the caller has disconnected'))
     if (hasPassed(request.deadline, now)) return new Err(this.createError(ErrorCode.DeadlinePassed, 'no slot became free in time'))
     const minLoanDeadline = createDeadline(request.deadline, LOAN_END_MARGIN_MS)
     const candidates = this.listCandidates(minLoanDeadline)
     const workerId = chooseWorker(candidates, now, this.random, request.excluded)
-    const slot = workerId === undefined ? undefined : this.ledger.take(this.getSlotKey(workerId), minLoanDeadline)
+    const slot = workerId === undefined ? undefined : this.ledger.acquire(this.getSlotKey(workerId), minLoanDeadline)
     if (workerId === undefined || slot === undefined) {
       this.refusals++
       return new Err(new AdmissionError(this.placeName, 'no worker in this place can accept a request', NO_WORKER_RETRY_AFTER_MS))
@@ -244,7 +244,7 @@
     return Object.keys(this.workers).find((id) => this.getSlotKey(id) === slotKey)
   }
 
-  private createGrant (workerId: string, slot: TakenSlot, release: () => void): SlotGrant {
+  private createGrant (workerId: string, slot: AcquiredSlot, release: () => void): SlotGrant {
     let isHeld = true
     const releaseSlot = (): void => {
       this.table.release(workerId)
--- a/packages/daemon/src/node/places/planKeeper.ts
+++ b/packages/daemon/src/node/places/planFollower.ts
@@ -9,7 +9,7 @@
 import { createDeadline } from '@umberspar/base/common/deadline'
 import { Emitter } from '@umberspar/base/common/event'
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
-import { acceptPlan, createNodeService, isAtPlan, type NodeService, type NodeStepInput, stepNodeService } from '@umberspar/steering/common/plan/nodePlan'
+import { acceptPlan, createNodeService, hasReachedAgreedPlan, type NodeService, type NodeStepInput, stepNodeService } from '@umberspar/steering/common/plan/nodePlan'
 import type { PlanDocument } from '@umberspar/steering/common/plan/planDocument'
 import { computeTargetPlan, type Weights } from '@umberspar/steering/common/plan/servicePlan'
 import { computeShift } from '@umberspar/steering/common/plan/stepPlan'
@@ -33,7 +33,7 @@
 export type PlanConditions = (service: string) => Pick<NodeStepInput, 'failedUntil' | 'utilization' | 'measurements'>
 
 /** Follows the agreed plans and holds the weights in force at this node. */
-export class PlanKeeper implements IClosable {
+export class PlanFollower implements IClosable {
   private readonly services = new Map<string, NodeService>()
   /** The newest known plan of each service, also of services that aren't configured yet. */
   private readonly agreedPlans = new Map<string, PlanDocument>()
@@ -60,7 +60,7 @@
    * @param clientRegion the caller's region
    * @returns weights by failure domain; empty if no domain can serve the region
    */
-  get (service: string, clientRegion: string): Readonly<Record<string, number>> {
+  getWeights (service: string, clientRegion: string): Readonly<Record<string, number>> {
     return this.services.get(service)?.inForce[clientRegion] ?? {}
   }
 
@@ -76,7 +76,7 @@
    * @param service a service's name
    * @returns the newest agreed plan known to this node
    */
-  findAgreed (service: string): PlanDocument | undefined {
+  findAgreedPlan (service: string): PlanDocument | undefined {
     return this.agreedPlans.get(service)
   }
 
@@ -95,7 +95,7 @@
    * @param failureDomain a failure domain's name
    * @returns the mean weight of the failure domain over all client regions
    */
-  computeWeight (service: string, failureDomain: string): number {
+  computeMeanWeight (service: string, failureDomain: string): number {
     const regions = Object.values(this.services.get(service)?.inForce ?? {})
     if (regions.length === 0) return 0
     return regions.reduce((sum, weights) => sum + (weights[failureDomain] ?? 0), 0) / regions.length
@@ -103,7 +103,7 @@
 
   /** @returns whether every service's weights are those of the agreed plan */
   get isSettled (): boolean {
-    return [...this.services.values()].every(isAtPlan)
+    return [...this.services.values()].every(hasReachedAgreedPlan)
   }
 
   /** @param conditions returns the failures and measurements for steps */
@@ -190,7 +190,7 @@
   }
 
   private scheduleNext (configuration: SteeringConfiguration): void {
-    const unsettled = [...this.services.values()].filter((state) => !isAtPlan(state))
+    const unsettled = [...this.services.values()].filter((state) => !hasReachedAgreedPlan(state))
     if (unsettled.length === 0) return
     const { settleMs } = configuration.shiftCaps
     const now = this.clock.now()
--- a/packages/daemon/src/node/places/workerReports.ts
+++ b/packages/daemon/src/node/places/workerReports.ts
@@ -40,7 +40,7 @@
   private workersByPeer = new Map<string, PlaceWorker[]>()
 
   /** Fires with the ids of the peers that should be told immediately of a worker's changed health or drain. */
-  readonly onDidFind = this.didChangeState.event
+  readonly onDidChangeState = this.didChangeState.event
 
   constructor (
     private readonly selfId: string,
@@ -72,7 +72,7 @@
   applyVmStates (isLeaving: (vm: string) => boolean): void {
     const now = this.clock.now()
     for (const [address, workers] of this.workersByAddress) {
-      for (const { pool, workerId } of workers) pool.table.markVmLeaving(workerId, isLeaving(address) || isLeaving(workerId), now)
+      for (const { pool, workerId } of workers) pool.table.markVmRemoval(workerId, isLeaving(address) || isLeaving(workerId), now)
     }
   }
 
@@ -143,7 +143,7 @@
   }
 
   private findLastAnswerAt (address: string): Instant {
-    return Math.max(-Infinity, ...(this.workersByAddress.get(address) ?? []).map(({ workerId, pool }) => pool.table.get(workerId)?.answeredAt ?? -Infinity))
+    return Math.max(-Infinity, ...(this.workersByAddress.get(address) ?? []).map(({ workerId, pool }) => pool.table.get(workerId)?.lastResponseAt ?? -Infinity))
   }
 
   private listReports (worker: PlaceWorker, now: Instant): WorkerReport[] {
@@ -156,7 +156,7 @@
     const state = pool.table.get(workerId)
     if (state === undefined) return undefined
     const isDraining = isFirstHandDrain(state, this.relayedTimes.get(address))
-    const measuredAt = isDraining ? state.drainHeardAt : state.load?.takenAt
+    const measuredAt = isDraining ? state.drainReportedAt : state.load?.takenAt
     if (measuredAt === undefined || (!isDraining && measuredAt <= (this.relayedTimes.get(address)?.loadAt ?? -Infinity))) return undefined
     // This load comes from this node's probe and is reported with it.
     if (measuredAt === this.probeReports.get(address)?.measuredAt) return undefined
@@ -201,7 +201,7 @@
 }
 
 function isFirstHandDrain (state: WorkerState, relayedTimes: RelayedTimes | undefined): boolean {
-  return state.isDrainAnnounced && state.drainHeardAt !== relayedTimes?.drainAt
+  return state.isDrainReported && state.drainReportedAt !== relayedTimes?.drainAt
 }
 
 /** Compares instants of which both may be -Infinity, whose difference would be NaN. */
--- a/packages/daemon/src/node/plan/drainPlanner.ts
+++ b/packages/daemon/src/node/plan/drainPlanner.ts
@@ -1,15 +1,15 @@
 /** Predicts the effect of drains from this node's measurements, and rejects drains for which capacity is missing. */
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import type { ConfigurationProblem } from '@umberspar/steering/common/configuration/configurationProblem'
-import { type DrainPrediction, type DrainPredictionInput, findMisfits, predictDrain } from '@umberspar/steering/common/plan/predictDrain'
-import { listForbidden } from '@umberspar/steering/common/plan/serviceStep'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import { type DrainPrediction, type DrainPredictionInput, findCapacityShortfalls, predictDrain } from '@umberspar/steering/common/plan/predictDrain'
+import { listUnusableDomains } from '@umberspar/steering/common/plan/serviceStep'
+import type { PlanFollower } from '../places/planFollower.js'
 import type { MeasurementCollector } from './measurementCollector.js'
 
 /** Predicts and checks changes of drains. */
 export class DrainPlanner {
   constructor (
-    private readonly plans: PlanKeeper,
+    private readonly plans: PlanFollower,
     private readonly collector: MeasurementCollector
   ) {}
 
@@ -31,7 +31,7 @@
    */
   check (current: SteeringConfiguration | undefined, next: SteeringConfiguration): ConfigurationProblem[] {
     if (current === undefined || !hasMoreDrains(current, next)) return []
-    return findMisfits(this.buildInput(next)).map(({ message, service }) => ({
+    return findCapacityShortfalls(this.buildInput(next)).map(({ message, service }) => ({
       path: 'drains',
       expected: `enough capacity for the current demand of service '${service}'`,
       message
@@ -44,7 +44,7 @@
     const buildByService = <T>(read: (service: string) => T): Record<string, T> => Object.fromEntries(services.map((service) => [service, read(service)]))
     return {
       configuration,
-      weights: buildByService((service) => this.plans.findAgreed(service)?.weights ?? this.plans.find(service)?.inForce ?? {}),
+      weights: buildByService((service) => this.plans.findAgreedPlan(service)?.weights ?? this.plans.find(service)?.inForce ?? {}),
       demand: buildByService((service) => this.collector.getDemand(service)),
       failed: buildByService((service) => this.collector.listFailed(service))
     }
@@ -53,8 +53,8 @@
 
 function hasMoreDrains (current: SteeringConfiguration, next: SteeringConfiguration): boolean {
   return Object.keys(next.services).some((service) => {
-    const before = listForbidden({ configuration: current, service, failed: new Set() })
-    const after = listForbidden({ configuration: next, service, failed: new Set() })
+    const before = listUnusableDomains({ configuration: current, service, failed: new Set() })
+    const after = listUnusableDomains({ configuration: next, service, failed: new Set() })
     return [...after].some((domain) => !before.has(domain))
   })
 }
--- a/packages/daemon/src/node/plan/measurementCollector.ts
+++ b/packages/daemon/src/node/plan/measurementCollector.ts
@@ -5,12 +5,12 @@
 import type { Deadline } from '@umberspar/base/common/deadline'
 import type { SteeringConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
 import { addMeasurement, computeDemand, type MeasurementState, NO_MEASUREMENTS, type NodeMeasurement, type PlanMember, setMembers } from '@umberspar/steering/common/plan/measurements'
-import { getPlaceKey, listFailed, updateFailures } from '@umberspar/steering/common/plan/placeFailures'
+import { getPlaceKey, listFailedDomains, updateFailures } from '@umberspar/steering/common/plan/placeFailures'
 import { parseInForceName } from '@umberspar/steering/common/plan/planDocument'
 import type { PlaceObservation } from '@umberspar/steering/common/plan/plannerState'
 import type { Demand } from '@umberspar/steering/common/plan/servicePlan'
 import type { DemandReport, DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
-import type { Digest } from '@umberspar/steering/common/ports/peers'
+import type { Heartbeat } from '@umberspar/steering/common/ports/peers'
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import { computeMemberState } from '../members/memberDirectory.js'
@@ -69,7 +69,7 @@
     return this.meter.list(Object.keys(this.configuration?.services ?? {}))
   }
 
-  observe (digest: Digest): void {
+  observe (digest: Heartbeat): void {
     this.observer.observe(digest.workers)
     // A node exchanges heartbeats with few peers, so their relayed measurements of other nodes count as well, with their age.
     for (const { nodeId, demand, documents } of [digest, ...digest.members]) {
@@ -105,7 +105,7 @@
    * @returns failure domains where the service has failed
    */
   listFailed (service: string): Set<string> {
-    return listFailed(this.failures, service, this.clock.now())
+    return listFailedDomains(this.failures, service, this.clock.now())
   }
 
   /**
@@ -125,7 +125,7 @@
     return this.members.list().flatMap((member) => {
       const isSelf = member.vm.vmId === this.selfId
       const state = isSelf ? NodeState.Live : computeMemberState(member)
-      return state === NodeState.Leaving ? [] : [{ nodeId: member.vm.vmId, isHeard: state === NodeState.Live }]
+      return state === NodeState.Leaving ? [] : [{ nodeId: member.vm.vmId, isLive: state === NodeState.Live }]
     })
   }
 }
--- a/packages/daemon/src/node/plan/planDocuments.ts
+++ b/packages/daemon/src/node/plan/planDocuments.ts
@@ -8,7 +8,7 @@
 import type { DocumentVersion } from '@umberspar/steering/common/membership/memberFacts'
 import type { PeerDocument } from '@umberspar/steering/common/ports/peers'
 import type { IDocumentSource } from '../peers/documentRegistry.js'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import type { PlanFollower } from '../places/planFollower.js'
 
 /** Plans have no change id: they don't come from an operator's change. */
 const NO_CHANGE_ID = ''
@@ -22,7 +22,7 @@
   private newestOriginId: string | undefined
 
   constructor (
-    private readonly plans: PlanKeeper,
+    private readonly plans: PlanFollower,
     private readonly digester: Digester,
     private readonly logger: ILogger
   ) {}
@@ -48,7 +48,7 @@
 
   shouldFetch ({ name, version }: DocumentVersion): boolean {
     const planService = parsePlanName(name)
-    if (planService !== undefined) return version > (this.plans.findAgreed(planService)?.version ?? 0)
+    if (planService !== undefined) return version > (this.plans.findAgreedPlan(planService)?.version ?? 0)
     const inForceService = parseInForceName(name)
     // Only a node that has no weights of its own yet adopts a peer's.
     return inForceService !== undefined && version > 0 && this.plans.find(inForceService) === undefined
@@ -90,12 +90,12 @@
       return false
     }
     // The store's watch often delivers the plan before the push does; the push then only tells who published it.
-    if (route !== undefined && plan.version >= (this.plans.findAgreed(service)?.version ?? 0)) this.newestOriginId = route.originId
+    if (route !== undefined && plan.version >= (this.plans.findAgreedPlan(service)?.version ?? 0)) this.newestOriginId = route.originId
     return this.plans.accept(plan)
   }
 
   private getPlan (service: string): PeerDocument | undefined {
-    const plan = this.plans.findAgreed(service)
+    const plan = this.plans.findAgreedPlan(service)
     if (plan === undefined) return undefined
     return { document: this.buildVersion(service, plan.version), body: new TextEncoder().encode(encodeCanonical(plan)) }
   }
@@ -112,7 +112,7 @@
     const name = getPlanName(service)
     const cached = this.digests.get(name)
     if (cached?.version === version) return { name, ...cached, changeId: NO_CHANGE_ID }
-    const plan = this.plans.findAgreed(service)
+    const plan = this.plans.findAgreedPlan(service)
     const digest = this.digester.computeDigest(plan === undefined ? '' : encodeCanonical(plan))
     this.digests.set(name, { version, digest })
     return { name, version, digest, changeId: NO_CHANGE_ID }
--- a/packages/daemon/src/node/plan/planHolder.ts
+++ b/packages/daemon/src/node/plan/planHolder.ts
@@ -11,10 +11,10 @@
 import { rankByRendezvous } from '@umberspar/steering/common/lookup/rendezvous'
 import type { PlanDocument } from '@umberspar/steering/common/plan/planDocument'
 import { stepPlanner } from '@umberspar/steering/common/plan/planner'
-import { INITIAL_PLANNER, type PlannerEffect, PlannerEffectKind, type PlannerEvent, PlannerEventKind, type PlannerState } from '@umberspar/steering/common/plan/plannerState'
-import { findNextSettled, isAwaitingReports } from '@umberspar/steering/common/plan/stepTiming'
-import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import { INITIAL_PLANNER_STATE, type PlannerEffect, PlannerEffectKind, type PlannerEvent, PlannerEventKind, type PlannerState } from '@umberspar/steering/common/plan/plannerState'
+import { findNextSettleTime, isAwaitingMeasurements } from '@umberspar/steering/common/plan/stepTiming'
+import type { ConfigurationManager } from '../configuration/configurationManager.js'
+import type { PlanFollower } from '../places/planFollower.js'
 import type { MeasurementCollector } from './measurementCollector.js'
 import type { PlanLease, PlanStore } from './planStore.js'
 
@@ -34,12 +34,12 @@
 const STORE_RETRY_DELAY_MS = 500
 
 /** Dependencies of the holder. */
-export interface PlanHolderParts {
+export interface PlanHolderDependencies {
   readonly nodeId: string
   readonly store: PlanStore
-  readonly plans: PlanKeeper
+  readonly plans: PlanFollower
   readonly collector: MeasurementCollector
-  readonly keeper: ConfigurationKeeper
+  readonly configurationManager: ConfigurationManager
   readonly clock: IClock
   readonly random: IRandomSource
   readonly logger: ILogger
@@ -55,7 +55,7 @@
 
 /** Acquires the plan's lease and advances the plans while this node holds it. */
 export class PlanHolder implements IClosable {
-  private state: PlannerState = INITIAL_PLANNER
+  private state: PlannerState = INITIAL_PLANNER_STATE
   private planLease: PlanLease | undefined
   /** Revisions of the plans' keys, for compare-and-swap. */
   private readonly revisions = new Map<string, { readonly version: number, readonly modRevision: number }>()
@@ -69,7 +69,7 @@
   private storeRetryAt: Deadline | undefined
   private isClosed = false
 
-  constructor (private readonly parts: PlanHolderParts) {}
+  constructor (private readonly dependencies: PlanHolderDependencies) {}
 
   /** @returns the epoch if this node holds the plan's lease */
   get epoch (): number | undefined {
@@ -79,10 +79,10 @@
   /** Starts trying to acquire the lease while this node is a candidate. */
   start (): void {
     this.subscriptions.push(
-      this.parts.keeper.onDidAdopt(() => this.runWithoutDelay()),
-      this.parts.collector.onDidReceive(() => this.runIfAwaitingReports())
+      this.dependencies.configurationManager.onDidAdopt(() => this.runWithoutDelay()),
+      this.dependencies.collector.onDidReceive(() => this.runIfAwaitingReports())
     )
-    this.schedule(ACQUIRE_INTERVAL_MS * this.parts.random.next())
+    this.schedule(ACQUIRE_INTERVAL_MS * this.dependencies.random.next())
   }
 
   async close (): Promise<void> {
@@ -94,9 +94,9 @@
 
   private schedule (delayMs: number): void {
     if (this.isClosed) return
-    this.timer = this.parts.clock.schedule(createDeadline(this.parts.clock.now(), delayMs), () => {
+    this.timer = this.dependencies.clock.schedule(createDeadline(this.dependencies.clock.now(), delayMs), () => {
       this.isRunning = true
-      runDetached(() => this.runRound().finally(() => this.finishRound()), this.parts.logger, 'hold-plan')
+      runDetached(() => this.runRound().finally(() => this.finishRound()), this.dependencies.logger, 'hold-plan')
     })
   }
 
@@ -116,31 +116,31 @@
 
   /** Runs a round only if a report may allow a step; none does while all moving services are still settling. */
   private runIfAwaitingReports (): void {
-    if (isAwaitingReports(this.state, this.parts.clock.now())) this.runWithoutDelay()
+    if (isAwaitingMeasurements(this.state, this.dependencies.clock.now())) this.runWithoutDelay()
   }
 
   private scheduleNext (): void {
-    if (this.planLease === undefined) this.schedule(addJitter(this.parts.random, ACQUIRE_INTERVAL_MS, ACQUIRE_JITTER_RATIO))
+    if (this.planLease === undefined) this.schedule(addJitter(this.dependencies.random, ACQUIRE_INTERVAL_MS, ACQUIRE_JITTER_RATIO))
     else {
-      const now = this.parts.clock.now()
-      this.schedule(Math.min(MAX_ROUND_INTERVAL_MS, (findNextSettled(this.state, now) ?? Infinity) - now))
+      const now = this.dependencies.clock.now()
+      this.schedule(Math.min(MAX_ROUND_INTERVAL_MS, (findNextSettleTime(this.state, now) ?? Infinity) - now))
     }
   }
 
   private async runRound (): Promise<void> {
-    if (!this.parts.isLive()) await this.release()
+    if (!this.dependencies.isLive()) await this.release()
     else if (this.planLease === undefined) await this.acquire()
     else await this.runHolder(this.planLease)
   }
 
   private isCandidate (): boolean {
-    const liveNodeIds = this.parts.collector.listMembers().filter((member) => member.isHeard).map((member) => member.nodeId)
-    return rankByRendezvous('plan-holder', liveNodeIds).slice(0, MAX_CANDIDATES).includes(this.parts.nodeId)
+    const liveNodeIds = this.dependencies.collector.listMembers().filter((member) => member.isLive).map((member) => member.nodeId)
+    return rankByRendezvous('plan-holder', liveNodeIds).slice(0, MAX_CANDIDATES).includes(this.dependencies.nodeId)
   }
 
   private async acquire (): Promise<void> {
-    const { store, nodeId, logger, clock } = this.parts
-    if (!this.isCandidate() || this.parts.keeper.current === undefined) return
+    const { store, nodeId, logger, clock } = this.dependencies
+    if (!this.isCandidate() || this.dependencies.configurationManager.current === undefined) return
     const holder = await store.readHolder(this.createStoreDeadline())
     if (!holder.ok || holder.val !== 0) return
     const acquired = await store.acquire(nodeId, LEASE_TTL_SECONDS, this.createStoreDeadline())
@@ -155,7 +155,7 @@
     this.nextRenewalAt = createDeadline(clock.now(), RENEW_INTERVAL_MS)
     const documents = listed.val.plans.map((plan) => plan.document)
     for (const { document, modRevision } of listed.val.plans) this.recordRevision(document, modRevision)
-    for (const document of documents) this.parts.plans.accept(document)
+    for (const document of documents) this.dependencies.plans.accept(document)
     logger.log(LogLevel.Info, { step: 'hold-plan', epoch: acquired.val.epoch }, 'acquired the lease of the plan')
     const wallOffsetMs = clock.getWallTime() - clock.now()
     this.applyEvent({ kind: PlannerEventKind.LeaseGained, epoch: acquired.val.epoch, deadline: acquired.val.lease.deadline, documents, wallOffsetMs })
@@ -165,25 +165,25 @@
     const planLease = this.planLease
     if (planLease === undefined) return
     this.clearPlanLease('released by this node')
-    await this.parts.store.release(planLease, this.createStoreDeadline())
+    await this.dependencies.store.release(planLease, this.createStoreDeadline())
   }
 
   private clearPlanLease (reason: string): void {
-    this.parts.logger.log(LogLevel.Info, { step: 'hold-plan', epoch: this.planLease?.epoch }, `the lease of the plan has ended: ${reason}`)
+    this.dependencies.logger.log(LogLevel.Info, { step: 'hold-plan', epoch: this.planLease?.epoch }, `the lease of the plan has ended: ${reason}`)
     this.planLease = undefined
     this.storeRetryAt = undefined
     this.applyEvent({ kind: PlannerEventKind.LeaseLost })
   }
 
   private async runHolder (planLease: PlanLease): Promise<void> {
-    const now = this.parts.clock.now()
+    const now = this.dependencies.clock.now()
     if (hasPassed(planLease.lease.deadline, now)) {
       this.clearPlanLease('expired')
       return
     }
     if (hasPassed(this.nextRenewalAt, now)) {
       this.nextRenewalAt = createDeadline(now, RENEW_INTERVAL_MS)
-      runDetached(() => this.renew(planLease), this.parts.logger, 'renew-plan-lease')
+      runDetached(() => this.renew(planLease), this.dependencies.logger, 'renew-plan-lease')
     }
     if (this.storeRetryAt !== undefined && hasPassed(this.storeRetryAt, now)) {
       this.storeRetryAt = undefined
@@ -194,9 +194,9 @@
   }
 
   private async renew (planLease: PlanLease): Promise<void> {
-    const renewed = await this.parts.store.renew(planLease, this.createStoreDeadline())
+    const renewed = await this.dependencies.store.renew(planLease, this.createStoreDeadline())
     if (this.planLease?.epoch !== planLease.epoch) return
-    if (!renewed.ok) logError(this.parts.logger, LogLevel.Warn, renewed.val)
+    if (!renewed.ok) logError(this.dependencies.logger, LogLevel.Warn, renewed.val)
     else if (renewed.val === undefined) this.clearPlanLease('expired')
     else {
       this.planLease = { ...this.planLease, lease: renewed.val }
@@ -206,8 +206,8 @@
 
   /** Passes the current configuration, members, measurements and places to the planner. */
   private updatePlanner (now: number): void {
-    const { collector, keeper } = this.parts
-    const current = keeper.current
+    const { collector, configurationManager } = this.dependencies
+    const current = configurationManager.current
     if (current !== undefined && current.head.version !== this.state.configuration?.version) {
       this.applyEvent({ kind: PlannerEventKind.Configuration, version: current.head.version, body: current.body })
     }
@@ -220,22 +220,22 @@
   }
 
   private applyEvent (event: PlannerEvent): void {
-    const { state, effects } = stepPlanner(this.state, event, this.parts.clock.now())
+    const { state, effects } = stepPlanner(this.state, event, this.dependencies.clock.now())
     this.state = state
     for (const effect of effects) {
       const handle = this.handlers[effect.kind]
-      runDetached(() => handle(effect), this.parts.logger, effect.kind)
+      runDetached(() => handle(effect), this.dependencies.logger, effect.kind)
     }
   }
 
   private readonly handlers: Readonly<Record<PlannerEffectKind, EffectHandler>> = {
     [PlannerEffectKind.WritePlan]: (effect) => effect.kind === PlannerEffectKind.WritePlan ? this.writePlan(effect.document) : Promise.resolve(),
     [PlannerEffectKind.ReadPlan]: (effect) => effect.kind === PlannerEffectKind.ReadPlan ? this.readPlan(effect.service) : Promise.resolve(),
-    [PlannerEffectKind.Measure]: () => this.askForMeasurements()
+    [PlannerEffectKind.AskForMeasurements]: () => this.askForMeasurements()
   }
 
   private async writePlan (document: PlanDocument): Promise<void> {
-    const { store, logger, plans } = this.parts
+    const { store, logger, plans } = this.dependencies
     const planLease = this.planLease
     if (planLease === undefined) return
     const { service, version } = document
@@ -247,7 +247,7 @@
       logger.log(LogLevel.Info, { step: 'write-plan', service, version, epoch: document.epoch }, 'wrote a new version of the plan')
       this.applyEvent({ kind: PlannerEventKind.PlanSeen, document })
       plans.accept(document)
-      await this.parts.push(service)
+      await this.dependencies.push(service)
       return
     }
     if (!written.ok) logError(logger, LogLevel.Warn, written.val)
@@ -257,15 +257,15 @@
 
   /** A rejected write may mean that another node holds the lease now. */
   private async checkHolder (planLease: PlanLease): Promise<void> {
-    const holder = await this.parts.store.readHolder(this.createStoreDeadline())
+    const holder = await this.dependencies.store.readHolder(this.createStoreDeadline())
     if (holder.ok && holder.val !== planLease.holderRevision && this.planLease?.epoch === planLease.epoch) this.clearPlanLease('acquired by another node')
   }
 
   private async readPlan (service: string): Promise<void> {
-    const read = await this.parts.store.read(service, this.createStoreDeadline())
+    const read = await this.dependencies.store.read(service, this.createStoreDeadline())
     if (!read.ok) {
-      logError(this.parts.logger, LogLevel.Warn, read.val)
-      this.storeRetryAt = createDeadline(this.parts.clock.now(), STORE_RETRY_DELAY_MS)
+      logError(this.dependencies.logger, LogLevel.Warn, read.val)
+      this.storeRetryAt = createDeadline(this.dependencies.clock.now(), STORE_RETRY_DELAY_MS)
       this.applyEvent({ kind: PlannerEventKind.StoreDown })
       return
     }
@@ -277,14 +277,14 @@
     const { document, modRevision } = read.val
     this.recordRevision(document, modRevision)
     this.applyEvent({ kind: PlannerEventKind.PlanSeen, document })
-    this.parts.plans.accept(document)
+    this.dependencies.plans.accept(document)
   }
 
   private async askForMeasurements (): Promise<void> {
-    if (!hasPassed(this.nextMeasurementAt, this.parts.clock.now())) return
-    this.nextMeasurementAt = createDeadline(this.parts.clock.now(), MIN_MEASURE_INTERVAL_MS)
+    if (!hasPassed(this.nextMeasurementAt, this.dependencies.clock.now())) return
+    this.nextMeasurementAt = createDeadline(this.dependencies.clock.now(), MIN_MEASURE_INTERVAL_MS)
     // A new exchange may start while this one still waits for a peer that doesn't answer.
-    await this.parts.askForMeasurements()
+    await this.dependencies.askForMeasurements()
   }
 
   private recordRevision (document: PlanDocument, modRevision: number): void {
@@ -292,6 +292,6 @@
   }
 
   private createStoreDeadline (): Deadline {
-    return createDeadline(this.parts.clock.now(), STORE_TIMEOUT_MS)
+    return createDeadline(this.dependencies.clock.now(), STORE_TIMEOUT_MS)
   }
 }
--- a/packages/daemon/src/node/plan/planParts.ts
+++ b/packages/daemon/src/node/plan/planParts.ts
@@ -3,16 +3,16 @@
 import type { Digester } from '@umberspar/steering/common/configuration/canonicalJson'
 import type { IKeyValueStore } from '@umberspar/steering/common/ports/keyValueStore'
 import type { IPeerClient } from '@umberspar/steering/common/ports/peers'
-import { SMALL_FLEET } from '@umberspar/steering/common/spread/neighbours'
+import { MAX_SMALL_FLEET_VMS } from '@umberspar/steering/common/gossip/neighbours'
 import { NodeState } from '@umberspar/steering/common/state/nodeState'
-import type { ConfigurationKeeper } from '../configuration/configurationKeeper.js'
+import type { ConfigurationManager } from '../configuration/configurationManager.js'
 import type { PatchService } from '../configuration/patchService.js'
 import type { PartInputs } from '../partInputs.js'
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import type { DocumentRegistry } from '../peers/documentRegistry.js'
 import type { Heartbeats } from '../peers/heartbeats.js'
 import type { PeerService } from '../peers/peerService.js'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import type { PlanFollower } from '../places/planFollower.js'
 import type { WorkerReports } from '../places/workerReports.js'
 import { DemandMeter } from './demandMeter.js'
 import { DrainPlanner } from './drainPlanner.js'
@@ -29,10 +29,10 @@
 export interface PlanPartInputs extends PartInputs {
   readonly digester: Digester
   readonly store: IKeyValueStore
-  readonly keeper: ConfigurationKeeper
+  readonly configurationManager: ConfigurationManager
   readonly members: MemberDirectory
   readonly patches: PatchService
-  readonly plans: PlanKeeper
+  readonly plans: PlanFollower
   readonly reports: WorkerReports
   readonly peerService: PeerService
   readonly heartbeats: Heartbeats
@@ -43,7 +43,7 @@
 /** The planning components that other parts of the daemon use. */
 export interface PlanParts {
   readonly demand: DemandMeter
-  readonly board: MeasurementCollector
+  readonly measurementCollector: MeasurementCollector
   readonly planWatcher: PlanWatcher
   readonly planHolder: PlanHolder
   readonly drainPlanner: DrainPlanner
@@ -55,7 +55,7 @@
  * @returns the components, not started yet
  */
 export function createPlanParts (inputs: PlanPartInputs, owned: CloseStack): PlanParts {
-  const { settings, clock, random, logger, plans, keeper, members, heartbeats, peerService, registry } = inputs
+  const { settings, clock, random, logger, plans, configurationManager, members, heartbeats, peerService, registry } = inputs
   const { nodeId, region } = settings
   const demand = new DemandMeter(region, clock)
   const documents = owned.add(new PlanDocuments(plans, inputs.digester, logger))
@@ -69,8 +69,8 @@
     plans,
     clock,
     logger,
-    getSettleMs: () => keeper.current?.body.shiftCaps.settleMs,
-    findHolderId: () => documents.newestPlanOriginId === nodeId || members.list().length > SMALL_FLEET ? undefined : documents.newestPlanOriginId,
+    getSettleMs: () => configurationManager.current?.body.shiftCaps.settleMs,
+    findHolderId: () => documents.newestPlanOriginId === nodeId || members.list().length > MAX_SMALL_FLEET_VMS ? undefined : documents.newestPlanOriginId,
     report: (holderId) => heartbeats.reportTo(holderId)
   }))
   const store = new PlanStore(inputs.store, settings.store.keyPrefix)
@@ -80,7 +80,7 @@
     store,
     plans,
     collector,
-    keeper,
+    configurationManager,
     clock,
     random,
     logger,
@@ -90,5 +90,5 @@
   }))
   const drainPlanner = new DrainPlanner(plans, collector)
   inputs.patches.checkResult = (current, next) => drainPlanner.check(current, next)
-  return { demand, board: collector, planWatcher, planHolder, drainPlanner }
+  return { demand, measurementCollector: collector, planWatcher, planHolder, drainPlanner }
 }
--- a/packages/daemon/src/node/plan/planPublisher.ts
+++ b/packages/daemon/src/node/plan/planPublisher.ts
@@ -10,9 +10,9 @@
 import { type ILogger, logError, LogLevel } from '@umberspar/base/common/logger'
 import { getPlanName } from '@umberspar/steering/common/plan/planDocument'
 import type { IPeerClient, PeerDocument } from '@umberspar/steering/common/ports/peers'
-import { SMALL_FLEET } from '@umberspar/steering/common/spread/neighbours'
-import { choosePushTargets, type PushRoute, PushScope } from '@umberspar/steering/common/spread/pushTree'
-import type { SpreadNode } from '@umberspar/steering/common/spread/spreadNode'
+import { MAX_SMALL_FLEET_VMS } from '@umberspar/steering/common/gossip/neighbours'
+import { choosePushTargets, type PushRoute, PushScope } from '@umberspar/steering/common/gossip/pushTree'
+import type { NodeLocation } from '@umberspar/steering/common/gossip/nodeLocation'
 import type { MemberDirectory } from '../members/memberDirectory.js'
 import type { PlanDocuments } from './planDocuments.js'
 
@@ -23,7 +23,7 @@
   private readonly subscription: IClosable
 
   constructor (
-    private readonly self: SpreadNode,
+    private readonly self: NodeLocation,
     private readonly client: IPeerClient,
     private readonly members: MemberDirectory,
     private readonly documents: PlanDocuments,
@@ -52,10 +52,10 @@
     await Promise.all(targets.map((nodeId) => this.pushTo(nodeId, document)))
   }
 
-  /** In a fleet of up to 32 nodes, {@link SMALL_FLEET}, the holder pushes to all nodes itself, as each hop of the tree would delay every step. */
+  /** In a fleet of up to 32 nodes, {@link MAX_SMALL_FLEET_VMS}, the holder pushes to all nodes itself, as each hop of the tree would delay every step. */
   private chooseTargets (route: PushRoute): string[] {
     const nodes = this.members.listActive()
-    if (nodes.length > SMALL_FLEET) return choosePushTargets(nodes, this.self, route)
+    if (nodes.length > MAX_SMALL_FLEET_VMS) return choosePushTargets(nodes, this.self, route)
     return route.originId === this.self.nodeId ? nodes.map(({ nodeId }) => nodeId).filter((nodeId) => nodeId !== this.self.nodeId) : []
   }
 
--- a/packages/daemon/src/node/plan/planStore.ts
+++ b/packages/daemon/src/node/plan/planStore.ts
@@ -101,7 +101,7 @@
   async acquire (nodeId: string, ttlSeconds: number, deadline: Deadline): Promise<Result<PlanLease | undefined, StepError>> {
     const epochRead = await this.store.get(this.epochKey, deadline)
     if (!epochRead.ok) return epochRead
-    const lease = await this.store.openLease(ttlSeconds, deadline)
+    const lease = await this.store.acquireLease(ttlSeconds, deadline)
     if (!lease.ok) return lease
     const epoch = decodeEpoch(epochRead.val) + 1
     const { leaseId } = lease.val
@@ -115,7 +115,7 @@
     if (acquired.ok && acquired.val.isApplied) return new Ok({ epoch, lease: lease.val, holderRevision: acquired.val.revision })
     // If only the store's answer was lost, this node holds the lease without
     // knowing it; closing the lease deletes the key again.
-    await this.store.closeLease(leaseId, deadline)
+    await this.store.releaseLease(leaseId, deadline)
     return acquired.ok ? new Ok(undefined) : acquired
   }
 
@@ -136,7 +136,7 @@
    * @param deadline when to give up
    */
   async release (planLease: PlanLease, deadline: Deadline): Promise<Result<void, StepError>> {
-    return await this.store.closeLease(planLease.lease.leaseId, deadline)
+    return await this.store.releaseLease(planLease.lease.leaseId, deadline)
   }
 }
 
--- a/packages/daemon/src/node/plan/planTimer.ts
+++ b/packages/daemon/src/node/plan/planTimer.ts
@@ -2,7 +2,7 @@
 import type { IClock, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { createDeadline } from '@umberspar/base/common/deadline'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import type { PlanFollower } from '../places/planFollower.js'
 import type { MeasurementCollector } from './measurementCollector.js'
 
 const CHECK_INTERVAL_MS = 500
@@ -13,7 +13,7 @@
 
   constructor (
     private readonly collector: MeasurementCollector,
-    private readonly plans: PlanKeeper,
+    private readonly plans: PlanFollower,
     private readonly clock: IClock
   ) {
     this.scheduleCheck()
--- a/packages/daemon/src/node/plan/planWatcher.ts
+++ b/packages/daemon/src/node/plan/planWatcher.ts
@@ -12,7 +12,7 @@
 import { rankByRendezvous } from '@umberspar/steering/common/lookup/rendezvous'
 import type { IKeyValueStore, IStoreWatch } from '@umberspar/steering/common/ports/keyValueStore'
 import type { MemberDirectory } from '../members/memberDirectory.js'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import type { PlanFollower } from '../places/planFollower.js'
 import { decodePlan, type PlanStore } from './planStore.js'
 
 const WATCHERS_PER_REGION = 2
@@ -26,7 +26,7 @@
   readonly region: string
 }
 
-/** Passes plans from the store to the {@link PlanKeeper}. */
+/** Passes plans from the store to the {@link PlanFollower}. */
 export class PlanWatcher implements IClosable {
   private watch: IStoreWatch | undefined
   private timer: ITimer | undefined
@@ -36,7 +36,7 @@
     private readonly identity: PlanWatcherIdentity,
     private readonly store: IKeyValueStore,
     private readonly planStore: PlanStore,
-    private readonly plans: PlanKeeper,
+    private readonly plans: PlanFollower,
     private readonly members: MemberDirectory,
     private readonly clock: IClock,
     private readonly random: IRandomSource,
--- a/packages/daemon/src/node/plan/stepReporter.ts
+++ b/packages/daemon/src/node/plan/stepReporter.ts
@@ -8,15 +8,15 @@
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import { runDetached } from '@umberspar/base/common/detached'
 import type { ILogger } from '@umberspar/base/common/logger'
-import { computeReportAt } from '@umberspar/steering/common/plan/stepTiming'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import { computeMeasurementReportTime } from '@umberspar/steering/common/plan/stepTiming'
+import type { PlanFollower } from '../places/planFollower.js'
 
 /** Steps of several services follow shortly after one another; a short delay lets one report cover them all. */
 const BATCH_DELAY_MS = 20
 
 /** Dependencies of the reporter. */
-export interface StepReporterParts {
-  readonly plans: PlanKeeper
+export interface StepReporterDependencies {
+  readonly plans: PlanFollower
   readonly clock: IClock
   readonly logger: ILogger
   /** The configured settle time in milliseconds; undefined before the first configuration. */
@@ -32,8 +32,8 @@
   private readonly reportTimes = new Map<string, Deadline>()
   private timer: ITimer | undefined
 
-  constructor (private readonly parts: StepReporterParts) {
-    this.subscription = parts.plans.onDidReach(({ service }) => this.planReport(service))
+  constructor (private readonly dependencies: StepReporterDependencies) {
+    this.subscription = dependencies.plans.onDidReach(({ service }) => this.planReport(service))
   }
 
   close (): void {
@@ -42,25 +42,25 @@
   }
 
   private planReport (service: string): void {
-    const settleMs = this.parts.getSettleMs()
+    const settleMs = this.dependencies.getSettleMs()
     if (settleMs === undefined) return
-    this.reportTimes.set(service, computeReportAt(this.parts.clock.now(), settleMs))
+    this.reportTimes.set(service, computeMeasurementReportTime(this.dependencies.clock.now(), settleMs))
     this.scheduleReport()
   }
 
   private scheduleReport (): void {
     this.timer?.close()
     if (this.reportTimes.size === 0) return
-    this.timer = this.parts.clock.schedule(createDeadline(Math.min(...this.reportTimes.values()), BATCH_DELAY_MS), () => this.report())
+    this.timer = this.dependencies.clock.schedule(createDeadline(Math.min(...this.reportTimes.values()), BATCH_DELAY_MS), () => this.report())
   }
 
   private report (): void {
-    const now = this.parts.clock.now()
+    const now = this.dependencies.clock.now()
     for (const [service, reportAt] of this.reportTimes) {
       if (hasPassed(reportAt, now)) this.reportTimes.delete(service)
     }
     this.scheduleReport()
-    const holderId = this.parts.findHolderId()
-    if (holderId !== undefined) runDetached(() => this.parts.report(holderId), this.parts.logger, 'report-step')
+    const holderId = this.dependencies.findHolderId()
+    if (holderId !== undefined) runDetached(() => this.dependencies.report(holderId), this.dependencies.logger, 'report-step')
   }
 }
--- a/packages/daemon/src/node/request/classifyAttempt.ts
+++ b/packages/daemon/src/node/request/classifyAttempt.ts
@@ -3,7 +3,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 import type { AttemptError } from '@umberspar/adapters/node/upstream/upstreamTransport'
 import type { RefusalConfiguration } from '@umberspar/steering/common/configuration/configurationSchema'
-import { AnswerState, classifyExchange, SentState } from '@umberspar/steering/common/request/outcomeTable'
+import { ResponseState, classifyExchange, SentState } from '@umberspar/steering/common/request/outcomeTable'
 import type { Outcome } from '@umberspar/steering/common/state/outcome'
 
 /** Response header with which a worker announces that it is draining. */
@@ -22,10 +22,10 @@
   return status === refusal.status && headers[refusal.header.toLowerCase()] === refusal.value
 }
 
-function getAnswerState (error: AttemptError): AnswerState {
-  if (error.code === ErrorCode.Cancelled) return AnswerState.Abandoned
-  if (error.isLate) return AnswerState.Late
-  return error.hasHeaders ? AnswerState.Broken : AnswerState.Nothing
+function getAnswerState (error: AttemptError): ResponseState {
+  if (error.code === ErrorCode.Cancelled) return ResponseState.Cancelled
+  if (error.isDeadlinePassed) return ResponseState.DeadlinePassed
+  return error.hasHeaders ? ResponseState.Incomplete : ResponseState.None
 }
 
 /**
@@ -33,7 +33,7 @@
  * @returns whether the request may have run
  */
 export function classifyAttemptError (error: AttemptError): Outcome {
-  const sent = error.mayHaveSent ? SentState.MayHaveLeft : SentState.Nothing
+  const sent = error.mayHaveBeenSent ? SentState.MaybeSent : SentState.Nothing
   return classifyExchange(sent, getAnswerState(error))
 }
 
@@ -54,7 +54,7 @@
  */
 export function isWorkerFault (error: AttemptError, timing: AttemptTiming): boolean {
   if (CODES_WITHOUT_WORKER_FAULT.has(error.code)) return false
-  return !error.isLate || timing.now - timing.sentAt >= timing.expectedLatency
+  return !error.isDeadlinePassed || timing.now - timing.sentAt >= timing.expectedLatency
 }
 
 /** Error codes of a connection that the worker closed. */
@@ -68,8 +68,8 @@
  * @returns whether the worker may still be running the request
  */
 export function mayStillRun (error: AttemptError): boolean {
-  if (!error.mayHaveSent) return false
-  if (error.isLate || error.code === ErrorCode.Cancelled) return true
+  if (!error.mayHaveBeenSent) return false
+  if (error.isDeadlinePassed || error.code === ErrorCode.Cancelled) return true
   const code = (error.cause as { readonly code?: string } | undefined)?.code ?? ''
   return !CONNECTION_CLOSED_CODES.has(code)
 }
--- a/packages/daemon/src/node/request/requestRun.ts
+++ b/packages/daemon/src/node/request/requestRun.ts
@@ -11,8 +11,8 @@
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
 import type { AttemptError, AttemptResponse, IUpstreamTransport } from '@umberspar/adapters/node/upstream/upstreamTransport'
 import { parseOrcaLoad } from '@umberspar/adapters/node/upstream/orca'
-import { AttemptPurpose, type FlowEffect, FlowEffectKind, type FlowEvent, FlowEventKind, FlowPhase, type FlowState, type FlowTimer, type FlowView } from '@umberspar/steering/common/request/flowTypes'
-import { AnswerState, classifyExchange, SentState } from '@umberspar/steering/common/request/outcomeTable'
+import { AttemptPurpose, type FlowEffect, FlowEffectKind, type FlowEvent, FlowEventKind, FlowPhase, type FlowState, type FlowTimer, type FlowContext } from '@umberspar/steering/common/request/flowTypes'
+import { ResponseState, classifyExchange, SentState } from '@umberspar/steering/common/request/outcomeTable'
 import { createFlow, stepFlow } from '@umberspar/steering/common/request/requestFlow'
 import { computeRetryAfter } from '@umberspar/steering/common/request/retryAfter'
 import type { Outcome } from '@umberspar/steering/common/state/outcome'
@@ -79,13 +79,13 @@
   private readonly effectHandlers: EffectHandlers = {
     [FlowEffectKind.AcquireSlot]: (effect) => { this.acquire(effect) },
     [FlowEffectKind.ReleaseSlot]: ({ attemptId }) => { this.attempts[attemptId]?.grant?.release() },
-    [FlowEffectKind.Send]: ({ attemptId }) => { this.send(attemptId) },
+    [FlowEffectKind.SendAttempt]: ({ attemptId }) => { this.send(attemptId) },
     [FlowEffectKind.CancelAttempt]: ({ attemptId }) => { this.cancel(attemptId) },
     [FlowEffectKind.StartTimer]: ({ timer, at }) => { this.startTimer(timer, at) },
     [FlowEffectKind.StopTimer]: ({ timer }) => { this.timers.get(timer)?.close() },
-    [FlowEffectKind.RecordFirst]: () => { this.input.statistics.budget.recordFirst() },
-    [FlowEffectKind.SpendToken]: () => { this.input.statistics.budget.take() },
-    [FlowEffectKind.Answer]: ({ attemptId }) => { this.deliverResponse(attemptId) },
+    [FlowEffectKind.RecordFirstAttempt]: () => { this.input.statistics.budget.recordFirstAttempt() },
+    [FlowEffectKind.ConsumeRetryToken]: () => { this.input.statistics.budget.consumeToken() },
+    [FlowEffectKind.ForwardResponse]: ({ attemptId }) => { this.deliverResponse(attemptId) },
     [FlowEffectKind.Refuse]: ({ outcome }) => { this.deliverFailure(outcome) }
   }
 
@@ -114,19 +114,19 @@
     }
   }
 
-  private buildView (): FlowView {
+  private buildView (): FlowContext {
     const { body, statistics } = this.input
     return {
       now: this.dependencies.clock.now(),
       jitter: this.dependencies.random.next(),
-      hasToken: statistics.budget.hasToken,
-      hedgeSpan: statistics.latency.getHedgeSpan(),
-      isBodyWhole: canReplayBody(body),
-      isBodyShared: body.kind === 'buffered'
+      hasRetryToken: statistics.budget.hasToken,
+      hedgeDelay: statistics.latency.getHedgeDelay(),
+      isBodyReplayable: canReplayBody(body),
+      isBodyBuffered: body.kind === 'buffered'
     }
   }
 
-  private async acquire ({ attemptId, purpose, wish }: EffectOf<FlowEffectKind.AcquireSlot>): Promise<void> {
+  private async acquire ({ attemptId, purpose, preference: wish }: EffectOf<FlowEffectKind.AcquireSlot>): Promise<void> {
     const { context } = this.input
     const attempt: Attempt = { controller: new AbortController(), grant: undefined, response: undefined, sentAt: 0 }
     this.attempts[attemptId] = attempt
@@ -177,7 +177,7 @@
     }
     grant.release(mayStillRun(error) ? this.getDelayedReleaseTime() : undefined)
     const outcome = classifyAttemptError(error)
-    if (error.code !== ErrorCode.Cancelled) this.lastError = error.isLate ? createDeadlineError(error) : error
+    if (error.code !== ErrorCode.Cancelled) this.lastError = error.isDeadlinePassed ? createDeadlineError(error) : error
     this.applyEvent({ kind: FlowEventKind.AttemptFailed, attemptId, outcome })
   }
 
@@ -192,10 +192,10 @@
       this.handleRefusal(attemptId, grant, response)
       return
     }
-    if (this.input.body.kind === 'buffered') grant.table.observeAnswerTime(grant.workerId, now - attempt.sentAt, now)
+    if (this.input.body.kind === 'buffered') grant.table.observeResponseTime(grant.workerId, now - attempt.sentAt, now)
     attempt.response = response
     this.input.statistics.latency.observe(now - attempt.sentAt)
-    this.applyEvent({ kind: FlowEventKind.AnswerBegan, attemptId })
+    this.applyEvent({ kind: FlowEventKind.ResponseStarted, attemptId })
   }
 
   private handleRefusal (attemptId: number, grant: SlotGrant, response: AttemptResponse): void {
@@ -203,7 +203,7 @@
     response.body.on('error', () => {})
     grant.release()
     this.lastError = new StepError({ code: ErrorCode.Refused, step: 'send-request', peer: grant.worker.address, message: 'the upstream refused the request without running it' })
-    const outcome = classifyExchange(SentState.MayHaveLeft, AnswerState.Refusal)
+    const outcome = classifyExchange(SentState.MaybeSent, ResponseState.Refused)
     this.applyEvent({ kind: FlowEventKind.AttemptFailed, attemptId, outcome })
   }
 
@@ -238,14 +238,14 @@
     // A worker that fails requests quickly would look idle and attract all of them.
     const isError = end === ResponseEnd.Broken || (end === ResponseEnd.Complete && status >= MIN_SERVER_ERROR_STATUS)
     if (isError) grant.table.observeFailure(grant.workerId, now)
-    else if (end === ResponseEnd.Complete) grant.table.observeAnswer(grant.workerId, now)
+    else if (end === ResponseEnd.Complete) grant.table.observeResponse(grant.workerId, now)
     grant.release(end === ResponseEnd.Complete ? undefined : this.getDelayedReleaseTime())
   }
 
   private deliverFailure (outcome: Outcome.NotRun | Outcome.Unknown): void {
     this.removeAbortListener()
     const error = this.lastError ?? this.createDefaultError()
-    const medianSpan = this.input.statistics.latency.getMedianSpan()
+    const medianSpan = this.input.statistics.latency.getMedianLatency()
     const occupancy = this.lastSlotFailure?.occupancy === undefined ? undefined : { ...this.lastSlotFailure.occupancy, medianSpan }
     const retryAfterSeconds = computeRetryAfter(occupancy, this.dependencies.random.next())
     this.resolve(new Err({ outcome, error, retryAfterSeconds }))
--- a/packages/daemon/src/node/request/serviceStatistics.ts
+++ b/packages/daemon/src/node/request/serviceStatistics.ts
@@ -20,7 +20,7 @@
   get (service: string, retryBudget: number): ServiceStatistics {
     const existing = this.byService.get(service)
     if (existing !== undefined) {
-      existing.budget.setFraction(retryBudget)
+      existing.budget.setTokensPerRequest(retryBudget)
       return existing
     }
     const created = { budget: new RetryBudget(retryBudget), latency: new LatencyEstimate() }
--- a/packages/daemon/src/node/request/slotFinder.ts
+++ b/packages/daemon/src/node/request/slotFinder.ts
@@ -3,10 +3,10 @@
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import type { IRandomSource } from '@umberspar/base/common/random'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
-import type { PlaceWish } from '@umberspar/steering/common/request/flowTypes'
-import type { RoomView } from '@umberspar/steering/common/request/retryAfter'
+import type { PlacementPreference } from '@umberspar/steering/common/request/flowTypes'
+import type { QueueLoad } from '@umberspar/steering/common/request/retryAfter'
 import type { PlaceDirectory } from '../places/placeDirectory.js'
-import type { PlanKeeper } from '../places/planKeeper.js'
+import type { PlanFollower } from '../places/planFollower.js'
 import type { PlacePool, SlotGrant } from '../places/placePool.js'
 import { chooseFailureDomain } from './chooseFailureDomain.js'
 import type { RequestContext } from './requestContext.js'
@@ -21,13 +21,13 @@
 export interface SlotFailure {
   readonly error: StepError
   /** Queue length and slots of the last place tried, if any. */
-  readonly occupancy: Pick<RoomView, 'waiting' | 'slots'> | undefined
+  readonly occupancy: Pick<QueueLoad, 'waiting' | 'slots'> | undefined
 }
 
 /** What an attempt requires of a slot. */
 export interface SlotRequest {
   readonly context: RequestContext
-  readonly wish: PlaceWish
+  readonly wish: PlacementPreference
   /** How long the attempt may wait for a slot. */
   readonly deadline: Deadline
   readonly signal: AbortSignal
@@ -37,7 +37,7 @@
 export class SlotFinder {
   constructor (
     private readonly places: PlaceDirectory,
-    private readonly plans: PlanKeeper,
+    private readonly plans: PlanFollower,
     private readonly random: IRandomSource
   ) {}
 
@@ -47,7 +47,7 @@
    */
   async acquire (request: SlotRequest): Promise<Result<AcquiredSlot, SlotFailure>> {
     const { context, wish } = request
-    const weights = this.plans.get(context.service, context.clientRegion)
+    const weights = this.plans.getWeights(context.service, context.clientRegion)
     const tried = new Set<string>()
     let lastFailure: SlotFailure | undefined
     for (;;) {
@@ -70,8 +70,8 @@
     return pool.acquire({ priority, kind, deadline, excluded: wish.excludedWorkers, signal })
   }
 
-  private chooseNextDomain (weights: Readonly<Record<string, number>>, wish: PlaceWish, tried: ReadonlySet<string>): string | undefined {
-    const { preferred, avoided } = wish
+  private chooseNextDomain (weights: Readonly<Record<string, number>>, wish: PlacementPreference, tried: ReadonlySet<string>): string | undefined {
+    const { preferredDomain: preferred, avoidedDomains: avoided } = wish
     if (preferred !== undefined && !tried.has(preferred) && (weights[preferred] ?? 0) > 0) return preferred
     const others = new Set([...tried, ...avoided])
     return chooseFailureDomain(weights, others, this.random) ?? chooseFailureDomain(weights, tried, this.random)
--- a/packages/daemon/src/node/tls/daemonTls.ts
+++ b/packages/daemon/src/node/tls/daemonTls.ts
@@ -8,7 +8,7 @@
 import { addJitter, type IRandomSource } from '@umberspar/base/common/random'
 import { Ok, type Result } from '@umberspar/base/common/result'
 import type { DaemonSettings } from '@umberspar/adapters/node/settings/daemonSettings'
-import { TlsKeeper } from '@umberspar/adapters/node/tls/tlsKeeper'
+import { TlsCertificateProvider } from '@umberspar/adapters/node/tls/tlsCertificateProvider'
 import type { TlsFiles } from '@umberspar/adapters/node/tls/tlsMaterial'
 
 const DEFAULT_RELOAD_INTERVAL_MS = 60_000
@@ -39,7 +39,7 @@
 
   private constructor (
     private readonly options: DaemonTlsOptions,
-    private readonly keepers: ReadonlyMap<TlsSide, TlsKeeper>
+    private readonly certificateProviders: ReadonlyMap<TlsSide, TlsCertificateProvider>
   ) {}
 
   /**
@@ -49,15 +49,15 @@
    */
   static async load (options: DaemonTlsOptions): Promise<Result<DaemonTls, StepError>> {
     const { settings, clock, logger } = options
-    const keepers = new Map<TlsSide, TlsKeeper>()
+    const certificateProviders = new Map<TlsSide, TlsCertificateProvider>()
     for (const side of Object.values(TlsSide)) {
       const files: TlsFiles & { readonly serverName?: string | undefined } | undefined = settings[side]?.tls
       if (files === undefined) continue
-      const loaded = await TlsKeeper.load({ section: `${side}.tls`, files, serverName: files.serverName, clock, logger })
+      const loaded = await TlsCertificateProvider.load({ section: `${side}.tls`, files, serverName: files.serverName, clock, logger })
       if (!loaded.ok) return loaded
-      keepers.set(side, loaded.val)
+      certificateProviders.set(side, loaded.val)
     }
-    const tls = new DaemonTls(options, keepers)
+    const tls = new DaemonTls(options, certificateProviders)
     tls.scheduleRenewal()
     return new Ok(tls)
   }
@@ -66,23 +66,23 @@
    * @param side one side of the daemon
    * @returns the side's certificates, or undefined if it doesn't use TLS
    */
-  get (side: TlsSide): TlsKeeper | undefined {
-    return this.keepers.get(side)
+  get (side: TlsSide): TlsCertificateProvider | undefined {
+    return this.certificateProviders.get(side)
   }
 
   /** Reloads all files now. Invalid files are logged, and the previous certificates stay in use. */
   async renew (): Promise<void> {
-    await Promise.all([...this.keepers.values()].map((keeper) => keeper.renew()))
+    await Promise.all([...this.certificateProviders.values()].map((certificateProvider) => certificateProvider.renew()))
   }
 
   close (): void {
     this.isClosed = true
     this.timer?.close()
-    for (const keeper of this.keepers.values()) keeper.close()
+    for (const certificateProvider of this.certificateProviders.values()) certificateProvider.close()
   }
 
   private scheduleRenewal (): void {
-    if (this.isClosed || this.keepers.size === 0) return
+    if (this.isClosed || this.certificateProviders.size === 0) return
     const { settings, clock, random, logger } = this.options
     const intervalMs = addJitter(random, settings.certificateRereadMs ?? DEFAULT_RELOAD_INTERVAL_MS, RELOAD_JITTER_RATIO)
     this.timer = clock.schedule(createDeadline(clock.now(), intervalMs), () => {
--- a/packages/daemon/test/node/configuration/memoryStore.ts
+++ b/packages/daemon/test/node/configuration/memoryStore.ts
@@ -3,7 +3,7 @@
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { Emitter } from '@umberspar/base/common/event'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
-import type { GrantedLease, IKeyValueStore, IStoreWatch, StoreChange, StoredValue, StoreSnapshot, StoreTransaction, TransactionResult, WatchEnd } from '@umberspar/steering/common/ports/keyValueStore'
+import type { GrantedLease, IKeyValueStore, IStoreWatch, StoreChange, StoredValue, StoreSnapshot, StoreTransaction, TransactionResult, WatchEndReason } from '@umberspar/steering/common/ports/keyValueStore'
 
 /** What happens to one write. */
 export enum WriteFault {
@@ -76,7 +76,7 @@
     return new Ok(result)
   }
 
-  async openLease (ttlSeconds: number, deadline: Deadline): Promise<Result<GrantedLease, StepError>> {
+  async acquireLease (ttlSeconds: number, deadline: Deadline): Promise<Result<GrantedLease, StepError>> {
     return new Ok({ leaseId: '1', deadline: createDeadline(deadline, ttlSeconds) })
   }
 
@@ -84,12 +84,12 @@
     return new Ok({ leaseId, deadline })
   }
 
-  async closeLease (): Promise<Result<void, StepError>> {
+  async releaseLease (): Promise<Result<void, StepError>> {
     return new Ok(undefined)
   }
 
   watch (): IStoreWatch {
-    return { onDidChange: new Emitter<StoreChange>().event, onDidEnd: new Emitter<WatchEnd>().event, close: () => {} }
+    return { onDidChange: new Emitter<StoreChange>().event, onDidEnd: new Emitter<WatchEndReason>().event, close: () => {} }
   }
 
   close (): void {}
