--- a/packages/daemon/test/node/configuration/patchService.test.ts
+++ b/packages/daemon/test/node/configuration/patchService.test.ts
@@ -7,7 +7,7 @@
 import { NULL_LOGGER } from '@umberspar/base/common/logger'
 import { computeDigest } from '@umberspar/steering/common/configuration/canonicalJson'
 import { PatchRefusalKind } from '@umberspar/steering/common/configuration/patchConfiguration'
-import { ConfigurationKeeper, LearnSource } from '../../../src/node/configuration/configurationKeeper.js'
+import { ConfigurationManager, ConfigurationSource } from '../../../src/node/configuration/configurationManager.js'
 import { ConfigurationStore, MAX_HISTORY_ENTRIES } from '../../../src/node/configuration/configurationStore.js'
 import { PatchService, type PatchRequest } from '../../../src/node/configuration/patchService.js'
 import { MemoryStore, type WaitForTurn, WriteFault } from './memoryStore.js'
@@ -49,7 +49,7 @@
 }
 
 interface TestDaemon {
-  readonly keeper: ConfigurationKeeper
+  readonly configurationManager: ConfigurationManager
   readonly configurations: ConfigurationStore
   readonly patches: PatchService
 }
@@ -57,9 +57,9 @@
 const NO_WAIT: WaitForTurn = async () => {}
 
 function createTestDaemon (store: MemoryStore, waitForTurn: WaitForTurn = NO_WAIT): TestDaemon {
-  const keeper = new ConfigurationKeeper({ computeDigest }, NULL_LOGGER)
+  const configurationManager = new ConfigurationManager({ computeDigest }, NULL_LOGGER)
   const configurations = new ConfigurationStore(store, PREFIX)
-  return { keeper, configurations, patches: new PatchService(configurations, keeper, { computeDigest }, new ScheduledClock(waitForTurn), NULL_LOGGER) }
+  return { configurationManager, configurations, patches: new PatchService(configurations, configurationManager, { computeDigest }, new ScheduledClock(waitForTurn), NULL_LOGGER) }
 }
 
 function createRequest (changeId: string, cacheMs: number, baseVersion = 1): PatchRequest {
@@ -241,7 +241,7 @@
     const store = new MemoryStore()
     await writeInitial(store)
     const daemon = createTestDaemon(store)
-    daemon.keeper.observePeer(4, undefined, 0)
+    daemon.configurationManager.observePeer(4, undefined, 0)
     const refused = await daemon.patches.patch(createRequest('early', 1000))
     assert.ok(!refused.ok && refused.val.kind === 'failed' && refused.val.error.code === ErrorCode.Unavailable)
     assert.deepEqual(store.listKeys(BODY_PREFIX).length, 1)
@@ -253,7 +253,7 @@
     const store = new MemoryStore()
     await writeInitial(store)
     const daemon = createTestDaemon(store)
-    daemon.keeper.observePeer(4, undefined, -60_000)
+    daemon.configurationManager.observePeer(4, undefined, -60_000)
     const accepted = await daemon.patches.patch(createRequest('late', 1000))
     assert.equal(accepted.unwrap().version, 5)
   })
@@ -266,8 +266,8 @@
     assert.ok(first !== undefined)
     const old = (await daemon.configurations.readBody(first.head, FAR_DEADLINE)).unwrap()
     await daemon.patches.patch(createRequest('b', 1000))
-    for (const source of [LearnSource.Store, LearnSource.Digest, LearnSource.Operator] as const) daemon.keeper.apply(old, 'someone', { source })
-    daemon.keeper.apply(old, 'someone', { source: LearnSource.Push, route: undefined })
-    assert.equal(daemon.keeper.version, 2)
+    for (const source of [ConfigurationSource.Store, ConfigurationSource.Digest, ConfigurationSource.Operator] as const) daemon.configurationManager.apply(old, 'someone', { source })
+    daemon.configurationManager.apply(old, 'someone', { source: ConfigurationSource.Push, route: undefined })
+    assert.equal(daemon.configurationManager.version, 2)
   })
 })
--- a/packages/daemon/test/node/places/workerReports.test.ts
+++ b/packages/daemon/test/node/places/workerReports.test.ts
@@ -6,7 +6,7 @@
 import { NULL_LOGGER } from '@umberspar/base/common/logger'
 import { SeededRandom } from '@umberspar/base/common/random'
 import { Err, Ok } from '@umberspar/base/common/result'
-import { type IUpstreamTransport, ProbeScope, type WorkerProbe } from '@umberspar/adapters/node/upstream/upstreamTransport'
+import { type IUpstreamTransport, ProbeScope, type ProbeResult } from '@umberspar/adapters/node/upstream/upstreamTransport'
 import type { WorkerReport } from '@umberspar/steering/common/ports/peers'
 import type { PlaceWorker } from '../../../src/node/places/placeDirectory.js'
 import { PlacePool } from '../../../src/node/places/placePool.js'
@@ -37,7 +37,7 @@
     if (scope === ProbeScope.HealthAndLoad) this.loadProbes++
     if (this.broken.has(address)) return new Err(new StepError({ code: ErrorCode.Unavailable, step: 'probe', peer: address, message: 'reset' }))
     const isDraining = this.draining.has(address)
-    const probe: WorkerProbe = { isHealthy: !isDraining, isDraining, isStarting: false, load: scope === ProbeScope.Health ? undefined : { utilization: 0.5, inFlight: 2 } }
+    const probe: ProbeResult = { isHealthy: !isDraining, isDraining, isStarting: false, load: scope === ProbeScope.Health ? undefined : { utilization: 0.5, inFlight: 2 } }
     return new Ok(probe)
   }
 }
--- a/packages/daemon/test/node/plan/stepReporter.test.ts
+++ b/packages/daemon/test/node/plan/stepReporter.test.ts
@@ -4,7 +4,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 import { Emitter } from '@umberspar/base/common/event'
 import { NULL_LOGGER } from '@umberspar/base/common/logger'
-import type { PlanKeeper, ReachedPlan } from '../../../src/node/places/planKeeper.js'
+import type { PlanFollower, ReachedPlan } from '../../../src/node/places/planFollower.js'
 import { ManualClock } from '@umberspar/base/common/manualClock'
 import { StepReporter } from '../../../src/node/plan/stepReporter.js'
 
@@ -20,7 +20,7 @@
     const reports: Array<readonly [string, Instant]> = []
     let holderId: string | undefined = 'holder'
     const reporter = new StepReporter({
-      plans: { onDidReach: reached.event } as unknown as PlanKeeper,
+      plans: { onDidReach: reached.event } as unknown as PlanFollower,
       clock,
       logger: NULL_LOGGER,
       getSettleMs: () => SETTLE_MS,
--- a/packages/daemon/test/node/stop/stop.test.ts
+++ b/packages/daemon/test/node/stop/stop.test.ts
@@ -16,7 +16,7 @@
   async runWhile (isRunning: () => boolean, until: Instant): Promise<void> {
     for (;;) {
       for (let turn = 0; turn < MICROTASKS_PER_TIMER; turn++) await Promise.resolve()
-      const next = this.getNextTimer()
+      const next = this.getNextDueTime()
       if (!isRunning() || next === undefined || next > until) return
       this.stepTo(next)
     }
--- a/packages/entry/src/common/span.ts
+++ b/packages/entry/src/common/duration.ts
@@ -7,7 +7,7 @@
  * @param text a duration, for example `250ms` or `2.5s`
  * @returns the duration in milliseconds; undefined if the text is invalid
  */
-export function parseSpan (text: string): number | undefined {
+export function parseDuration (text: string): number | undefined {
   const match = DURATION_PATTERN.exec(text)
   return match === null ? undefined : Number(match[1]) * MS_BY_UNIT[match[2]!]!
 }
--- a/packages/entry/src/common/entrySettings.ts
+++ b/packages/entry/src/common/entrySettings.ts
@@ -7,13 +7,13 @@
 import { LogLevel } from '@umberspar/base/common/logger'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
 import * as z from 'zod/mini'
-import { parseSpan } from './span.js'
+import { parseDuration } from './duration.js'
 
 /** A duration, as text with a unit or as a number of milliseconds. */
 const duration = z.pipe(
   z.union([z.number().check(z.nonnegative()), z.string()]),
   z.transform((value: number | string, context) => {
-    const ms = typeof value === 'number' ? value : parseSpan(value)
+    const ms = typeof value === 'number' ? value : parseDuration(value)
     if (ms !== undefined) return ms
     context.issues.push({ code: 'custom', message: 'expected a duration such as 250ms or 2.5s', input: value })
     return z.NEVER
--- a/packages/entry/src/common/recordLines.ts
+++ b/packages/entry/src/common/recordLines.ts
@@ -5,7 +5,7 @@
 import { ErrorCode, StepError } from '@umberspar/base/common/errors'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
 import { PartKind } from '@umberspar/steering/common/entry/documentParts'
-import type { RecordNews } from '@umberspar/steering/common/entry/recordNews'
+import type { RecordUpdate } from '@umberspar/steering/common/entry/recordUpdate'
 import * as z from 'zod/mini'
 
 /**
@@ -27,7 +27,7 @@
   readonly revision: number
   /** How much longer the sending VM keeps records that disappeared during an outage of the store, in milliseconds. */
   readonly holdMs: number
-  readonly news?: RecordNews | undefined
+  readonly news?: RecordUpdate | undefined
   /** The monotonic clock of the sending VM when it wrote the line. */
   readonly clockMs: number
   /** How long before that the sending VM's records were last proven current, in milliseconds; undefined if they never were. */
--- a/packages/entry/src/node/accounts/accessBounds.ts
+++ b/packages/entry/src/node/accounts/accessBounds.ts
@@ -15,8 +15,8 @@
 export function createAccessBounds ({ revokeWithin, changeLimits }: EntrySettings): AccessBounds {
   const shortestChangeLimitMs = Math.min(...changeLimits)
   return {
-    runWithinMs: revokeWithin === undefined ? Infinity : revokeWithin * PROOF_AGE_RATIO,
-    denyWithinMs: shortestChangeLimitMs,
-    homeWithinMs: shortestChangeLimitMs * PROOF_AGE_RATIO
+    maxAgeToRunMs: revokeWithin === undefined ? Infinity : revokeWithin * PROOF_AGE_RATIO,
+    maxAgeToDenyMs: shortestChangeLimitMs,
+    maxAgeToRunHomedMs: shortestChangeLimitMs * PROOF_AGE_RATIO
   }
 }
--- a/packages/entry/src/node/accounts/accessGate.ts
+++ b/packages/entry/src/node/accounts/accessController.ts
@@ -1,6 +1,6 @@
 /** Decides whether a request may run, by the current records: when it is read, and again each time it is sent to a worker. */
 import type { IncomingMessage } from 'node:http'
-import { type Access, type AccessBounds, decideAccess } from '@umberspar/steering/common/entry/decideAccess'
+import { type AccessDecision, type AccessBounds, decideAccess } from '@umberspar/steering/common/entry/decideAccess'
 import type { EntryView } from '@umberspar/steering/common/entry/entryView'
 import type { RoutePolicy } from '@umberspar/steering/common/entry/steeringDocument'
 import { computeKeyDigest, readCallerKey } from './callerKey.js'
@@ -22,12 +22,12 @@
 
   /** @returns whether the proof is recent enough for requests with keys to run */
   get canAdmitKeys (): boolean {
-    return this.view.accounts === undefined || this.getProofAgeMs() <= this.bounds.runWithinMs
+    return this.view.accounts === undefined || this.getProofAgeMs() <= this.bounds.maxAgeToRunMs
   }
 
   /** @returns whether the proof is recent enough to conclude that a route that isn't in the records doesn't exist */
   get canConfirmAbsence (): boolean {
-    return this.getProofAgeMs() <= this.bounds.denyWithinMs
+    return this.getProofAgeMs() <= this.bounds.maxAgeToDenyMs
   }
 
   /** @returns the digest of the caller's key; undefined if it sent no valid one */
@@ -41,7 +41,7 @@
    * @param keyDigest digest of the caller's key
    * @returns whether the request may run now, and for which account
    */
-  decide (route: RoutePolicy, keyDigest: string | undefined): Access {
+  decide (route: RoutePolicy, keyDigest: string | undefined): AccessDecision {
     return decideAccess({ accounts: this.view.accounts, route, keyDigest, proofAgeMs: this.getProofAgeMs() }, this.bounds)
   }
 }
--- a/packages/entry/src/node/entry.ts
+++ b/packages/entry/src/node/entry.ts
@@ -8,8 +8,8 @@
 import type { ElapsedClock } from '@umberspar/base/common/elapsedClock'
 import { type ILogger, LogLevel } from '@umberspar/base/common/logger'
 import type { IRandomSource } from '@umberspar/base/common/random'
-import { chooseEntries } from '@umberspar/steering/common/entry/chooseEntries'
-import { DomainDistances } from '@umberspar/steering/common/entry/domainDistances'
+import { chooseEntryVms } from '@umberspar/steering/common/entry/chooseEntryVms'
+import { DomainRoundTrips } from '@umberspar/steering/common/entry/domainRoundTrips'
 import { EntryView } from '@umberspar/steering/common/entry/entryView'
 import { ViewChange, type ViewEvent } from '@umberspar/steering/common/entry/viewEvent'
 import { type EntryNode, UpstreamState } from '@umberspar/steering/common/entry/records'
@@ -18,18 +18,18 @@
 import type { EntrySettings } from '../common/entrySettings.js'
 import { RECORDS_PATH } from '../common/recordLines.js'
 import { createAccessBounds } from './accounts/accessBounds.js'
-import { AccessController } from './accounts/accessGate.js'
-import { BeliefKeeper } from './beliefs/beliefKeeper.js'
-import { RecordFollower } from './beliefs/recordFollower.js'
+import { AccessController } from './accounts/accessController.js'
+import { ViewUpdater } from './replica/viewUpdater.js'
+import { RecordSynchronizer } from './replica/recordSynchronizer.js'
 import { BodyMemoryBudget } from './front/bodyReader.js'
 import type { EntryContext } from './front/entryContext.js'
-import { CallerServer } from './front/frontServer.js'
-import { HeaderRewriter } from './front/requestHead.js'
-import { createLookupHandler, METRICS_CONTENT_TYPE, NOT_READY_RESPONSE, EndpointServer, READY_RESPONSE } from './lookup/questionServer.js'
+import { CallerServer } from './front/callerServer.js'
+import { HeaderRewriter } from './front/headerRewriter.js'
+import { createLookupHandler, METRICS_CONTENT_TYPE, NOT_READY_RESPONSE, EndpointServer, READY_RESPONSE } from './lookup/endpointServer.js'
 import { RequestQuarantine } from './quarantine/requestQuarantine.js'
 import { AccountQuotas } from './quota/accountQuotas.js'
 import { QUOTA_PATH } from './quota/quotaMessages.js'
-import { GracefulShutdown } from './stop/entryStop.js'
+import { GracefulShutdown } from './stop/gracefulShutdown.js'
 import { EntryGauges } from './telemetry/entryGauges.js'
 import type { EntryMetrics } from './telemetry/entryMetrics.js'
 import { EntryTelemetry } from './telemetry/entryTelemetry.js'
@@ -61,9 +61,9 @@
 export class Entry implements IClosable {
   private readonly closeStack = new CloseStack()
   private readonly view: EntryView
-  readonly keeper: BeliefKeeper
+  readonly viewUpdater: ViewUpdater
   /** Keeps the records up to date; the adapter that monitors the store reports its health here. */
-  readonly follower: RecordFollower
+  readonly synchronizer: RecordSynchronizer
   private readonly callerServer: CallerServer
   private readonly accessController: AccessController
   /** The quotas of client accounts. */
@@ -82,25 +82,25 @@
     const { settings, clock, logger, metrics, protocol } = dependencies
     this.seeds = settings.seeds
     this.regionByDomain = new Map(Object.entries(settings.regions))
-    const distances = new DomainDistances(settings.domain, this.regionByDomain)
+    const roundTrips = new DomainRoundTrips(settings.domain, this.regionByDomain)
     this.node = { name: settings.node, address: settings.listen.callers, peerAddress: settings.listen.peers, domain: settings.domain, linkMbps: settings.linkMbps }
     this.telemetry = new EntryTelemetry(logger, metrics)
     this.view = new EntryView({
       node: settings.node,
       domain: settings.domain,
-      regionOf: this.regionByDomain,
-      distances,
+      regionByDomain: this.regionByDomain,
+      roundTrips,
       coldTolerance: settings.coldTolerance,
       rateTolerance: settings.rateTolerance,
-      budget: { ...settings.repeatBudget, windowMs: settings.repeatBudget.window }
+      retryBudget: { ...settings.repeatBudget, windowMs: settings.repeatBudget.window }
     })
-    this.accessController = new AccessController(this.view, createAccessBounds(settings), () => this.follower.proof.getAgeMs())
-    this.quotas = this.closeStack.add(this.buildQuotas(distances))
+    this.accessController = new AccessController(this.view, createAccessBounds(settings), () => this.synchronizer.freshness.getAgeMs())
+    this.quotas = this.closeStack.add(this.buildQuotas(roundTrips))
     this.pools = this.closeStack.add(new UpstreamPools({ idHeader: protocol.headers.requestId }, clock))
     this.quarantine = this.closeStack.add(this.buildQuarantine())
-    this.keeper = this.closeStack.add(new BeliefKeeper(clock, this.view, this.telemetry, (event) => { this.handleChange(event) }))
-    this.follower = this.closeStack.add(this.buildFollower())
-    this.callerServer = this.closeStack.add(new CallerServer(this.buildContext(distances)))
+    this.viewUpdater = this.closeStack.add(new ViewUpdater(clock, this.view, this.telemetry, (event) => { this.handleChange(event) }))
+    this.synchronizer = this.closeStack.add(this.buildSynchronizer())
+    this.callerServer = this.closeStack.add(new CallerServer(this.buildContext(roundTrips)))
   }
 
   /** Starts the servers and begins to follow the records. */
@@ -115,7 +115,7 @@
     await this.callerServer.listen(settings.listen.callers)
     this.telemetry.logger.log(LogLevel.Info, { step: 'start', node: settings.node, domain: settings.domain, callers: settings.listen.callers, readiness: protocol.readinessPath }, 'entry process started')
     registration.start()
-    this.follower.start()
+    this.synchronizer.start()
   }
 
   /**
@@ -155,30 +155,30 @@
     this.isDraining = true
     this.telemetry.logger.log(LogLevel.Info, { step: 'stop', openRequests: this.callerServer.inFlightRequests }, 'entry process is draining')
     this.dependencies.registration.withdraw()
-    this.follower.teller.close()
+    this.synchronizer.publisher.close()
   }
 
-  private buildFollower (): RecordFollower {
+  private buildSynchronizer (): RecordSynchronizer {
     const { clock, elapsed, random, source } = this.dependencies
-    return new RecordFollower({
+    return new RecordSynchronizer({
       clock,
       elapsed,
       random,
       telemetry: this.telemetry,
       source,
-      keeper: this.keeper,
-      place: {
+      viewUpdater: this.viewUpdater,
+      fleet: {
         self: this.node,
-        regionOf: this.regionByDomain,
+        regionByDomain: this.regionByDomain,
         listNodes: () => this.view.nodes.values(),
         listSeeds: () => this.seeds,
         hasConfiguration: () => this.view.document !== undefined
       },
-      onRead: () => { this.register() }
+      onFirstRead: () => { this.register() }
     })
   }
 
-  private buildQuotas (distances: DomainDistances): AccountQuotas {
+  private buildQuotas (roundTrips: DomainRoundTrips): AccountQuotas {
     const { clock, elapsed, random, logger, registration, settings } = this.dependencies
     const { window, over, slack } = settings.quotaTolerance
     return new AccountQuotas({
@@ -186,11 +186,11 @@
       elapsed,
       logger,
       registration,
-      distances,
+      roundTrips,
       view: this.view,
       self: this.node,
       life: random.next().toString(36),
-      regionOf: this.regionByDomain,
+      regionByDomain: this.regionByDomain,
       tolerance: { windowMs: window, over, slack },
       startedAt: elapsed.now(),
       isLeaving: () => this.isDraining
@@ -199,10 +199,10 @@
 
   private buildQuarantine (): RequestQuarantine {
     const { clock, logger, writer, settings } = this.dependencies
-    return new RequestQuarantine({ clock, logger, writer, view: this.view, pools: this.pools, node: settings.node, quarantineSpanMs: settings.quarantineSpan })
+    return new RequestQuarantine({ clock, logger, writer, view: this.view, pools: this.pools, node: settings.node, quarantineDurationMs: settings.quarantineSpan })
   }
 
-  private buildContext (distances: DomainDistances): EntryContext {
+  private buildContext (roundTrips: DomainRoundTrips): EntryContext {
     const { settings, clock, random, protocol } = this.dependencies
     return {
       clock,
@@ -213,12 +213,12 @@
       accessController: this.accessController,
       quotas: this.quotas,
       quarantine: this.quarantine,
-      distances,
+      roundTrips,
       pools: this.pools,
       bodyMemoryBudget: new BodyMemoryBudget(settings.memoryMb * BYTES_PER_MB * BODY_MEMORY_RATIO),
       byteCosts: settings.byteCosts,
       telemetry: this.telemetry,
-      getRecordsAge: () => this.keeper.getRecordsAge(),
+      getRecordsAge: () => this.viewUpdater.getRecordsAge(),
       isDraining: () => this.isDraining
     }
   }
@@ -230,7 +230,7 @@
     const endpoints = [
       { address: listen.readiness, path: protocol.readinessPath, handler: () => this.isReady() ? READY_RESPONSE : NOT_READY_RESPONSE },
       { address: listen.lookups, path: protocol.lookupPath, handler: this.buildLookupHandler() },
-      { address: listen.peers, path: QUOTA_PATH, handler: this.quotas.createHandler() },
+      { address: listen.peers, path: QUOTA_PATH, handler: this.quotas.createPeerHandler() },
       { address: listen.metrics, path: METRICS_PATH, handler: async () => ({ status: 200, contentType: METRICS_CONTENT_TYPE, body: await this.dependencies.metrics.read(this.buildGauges()) }) }
     ]
     return async (address) => {
@@ -238,20 +238,20 @@
       for (const endpoint of endpoints) {
         if (endpoint.address === address) server.register(endpoint.path, endpoint.handler)
       }
-      if (listen.peers === address) server.registerStream(RECORDS_PATH, (query, response) => { this.follower.teller.accept(query, response) })
+      if (listen.peers === address) server.registerStream(RECORDS_PATH, (query, response) => { this.synchronizer.publisher.accept(query, response) })
       await server.listen(address)
     }
   }
 
   private buildGauges (): EntryGauges {
     const { clock } = this.dependencies
-    return new EntryGauges({ clock, view: this.view, keeper: this.keeper, follower: this.follower, quotas: this.quotas, quarantine: this.quarantine, callerServer: this.callerServer, isReady: () => this.isReady() })
+    return new EntryGauges({ clock, view: this.view, viewUpdater: this.viewUpdater, synchronizer: this.synchronizer, quotas: this.quotas, quarantine: this.quarantine, callerServer: this.callerServer, isReady: () => this.isReady() })
   }
 
   private buildLookupHandler () {
     const cacheMs = Math.min(MAX_LOOKUP_CACHE_MS, this.dependencies.settings.longestLookupCache)
     return createLookupHandler(this.dependencies.protocol, (region, domain) => {
-      return { addresses: chooseEntries(this.listServingNodes(), { region, domain }, this.regionByDomain), cacheMs }
+      return { addresses: chooseEntryVms(this.listServingNodes(), { region, domain }, this.regionByDomain), cacheMs }
     }, (hasAddresses) => { this.telemetry.metrics.countLookup(hasAddresses ? 'named' : 'none') })
   }
 
@@ -265,7 +265,7 @@
 
   private isReady (): boolean {
     if (this.isDraining || this.view.document === undefined || !this.accessController.canAdmitKeys) return false
-    for (const { entry } of this.view.listTrackers()) {
+    for (const { registration: entry } of this.view.listTrackers()) {
       if (entry.state === UpstreamState.Ready) return true
     }
     return false
@@ -281,7 +281,7 @@
     }
     // A restarted worker may have another address, and open connections belong to the process before the restart.
     if (change === ViewChange.UpstreamLeft || change === ViewChange.UpstreamRestarted) this.pools.remove(subject)
-    if (change === ViewChange.NodeJoined || change === ViewChange.NodeLeft) this.follower.handleNodesChanged()
+    if (change === ViewChange.NodeJoined || change === ViewChange.NodeLeft) this.synchronizer.handleNodesChanged()
     if (change !== ViewChange.NodeLeft || subject !== this.node.name) return
     this.isRegistered = false
     this.register()
--- a/packages/entry/src/node/front/callerConnection.ts
+++ b/packages/entry/src/node/front/callerConnection.ts
@@ -11,7 +11,7 @@
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 import type { IClock, Instant } from '@umberspar/base/common/clock'
-import { CallerResponse } from './callerAnswer.js'
+import { CallerResponse } from './callerResponse.js'
 
 /**
  * Requests of one connection that run at the same time; further ones are queued. Their responses
--- a/packages/entry/src/node/front/callerAnswer.ts
+++ b/packages/entry/src/node/front/callerResponse.ts
@@ -1,7 +1,7 @@
 /** Writes the response to one request and reports when the caller disconnects. */
 import type { ServerResponse } from 'node:http'
 import { getHeader } from '../upstream/rawHeaders.js'
-import type { AnswerHead } from '../upstream/answerParser.js'
+import type { ResponseHead } from '../upstream/responseParser.js'
 
 /** Responses with these statuses have neither a body nor a `Content-Length` (RFC 9110, section 8.6). */
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304])
@@ -75,7 +75,7 @@
   }
 
   /** Writes a worker's complete response. */
-  writeComplete (head: AnswerHead, fields: string[], body: readonly Buffer[], length: number): void {
+  writeComplete (head: ResponseHead, fields: string[], body: readonly Buffer[], length: number): void {
     if (this.isHeadWritten || this.isClosed) return
     const contentLength = this.isHead ? getHeader(head.rawHeaders, 'content-length') : String(length)
     if (contentLength !== undefined && !BODILESS_STATUSES.has(head.status)) fields.push('Content-Length', contentLength)
@@ -84,7 +84,7 @@
   }
 
   /** Starts to stream a worker's response. */
-  startStream (head: AnswerHead, fields: string[]): void {
+  startStream (head: ResponseHead, fields: string[]): void {
     const contentLength = getHeader(head.rawHeaders, 'content-length')
     if (contentLength !== undefined) fields.push('Content-Length', contentLength)
     this.writeHead(head.status, fields)
--- a/packages/entry/src/node/front/frontServer.ts
+++ b/packages/entry/src/node/front/callerServer.ts
@@ -6,19 +6,19 @@
 import { Server as NetServer, type Socket } from 'node:net'
 import type { IClock, Instant, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
-import { AccessEnd } from '@umberspar/steering/common/entry/decideAccess'
-import { addSpread } from '@umberspar/steering/common/entry/comeBack'
+import { AccessOutcome } from '@umberspar/steering/common/entry/decideAccess'
+import { addRetryJitter } from '@umberspar/steering/common/entry/retryDelay'
 import type { RoutePolicy, SteeringDocument } from '@umberspar/steering/common/entry/steeringDocument'
 import { listenAt } from '../address.js'
-import { EndReason, RequestOutcome } from '../telemetry/requestEvents.js'
+import { EndReason, RequestOutcome } from '../telemetry/requestOutcomes.js'
 import { BodyFailure, hasBody, readBody, RequestBody } from './bodyReader.js'
-import type { CallerResponse } from './callerAnswer.js'
+import type { CallerResponse } from './callerResponse.js'
 import { CallerConnection, type CallerExchange, type ConnectionHost } from './callerConnection.js'
 import type { EntryContext } from './entryContext.js'
 import { getRefusal, REASON_BY_DENIAL } from './refusals.js'
-import type { AcceptedRequest } from './readRequest.js'
+import type { AcceptedRequest } from './bufferedRequest.js'
 import { RequestDigest } from './requestDigest.js'
-import { ProxiedRequest } from './requestRun.js'
+import { ProxiedRequest } from './proxiedRequest.js'
 
 /** Node.js rejects longer request heads itself; the lower configured limit is checked by {@link CallerServer}. */
 const MAX_HEADER_BYTES = 65_536
@@ -160,9 +160,9 @@
     if (route === undefined) return this.refuse(request, response, { reason: this.classifyMissingRoute(), arrivedAt })
     const keyDigest = this.context.accessController.readKeyDigest(request)
     const access = this.context.accessController.decide(route, keyDigest)
-    if (access.end !== AccessEnd.Allowed) return this.refuse(request, response, { reason: REASON_BY_DENIAL[access.end], arrivedAt, route })
-    const exhaustedMs = access.account === undefined ? 0 : this.context.quotas.getSpentMs(access.account)
-    if (exhaustedMs > 0) return this.refuse(request, response, { reason: EndReason.QuotaExhausted, arrivedAt, route, account: access.account?.name, retryAfterMs: addSpread(exhaustedMs, this.context.random) })
+    if (access.outcome !== AccessOutcome.Allowed) return this.refuse(request, response, { reason: REASON_BY_DENIAL[access.outcome], arrivedAt, route })
+    const exhaustedMs = access.account === undefined ? 0 : this.context.quotas.getExhaustedMs(access.account)
+    if (exhaustedMs > 0) return this.refuse(request, response, { reason: EndReason.QuotaExhausted, arrivedAt, route, account: access.account?.name, retryAfterMs: addRetryJitter(exhaustedMs, this.context.random) })
     if (Number(request.headers['content-length'] ?? 0) > document.limits.bodyBytes) return this.refuse(request, response, { reason: EndReason.BodyTooLarge, arrivedAt, route })
     const accepted: AcceptedRequest = { message: request, route, keyDigest, arrivedAt }
     if (hasBody(request)) this.readBodyThenForward(accepted, response, document)
--- a/packages/entry/src/node/front/describeChoice.ts
+++ b/packages/entry/src/node/front/describeChoice.ts
@@ -1,6 +1,6 @@
 /** The log fields that describe the worker chosen for a request. */
 import type { Instant } from '@umberspar/base/common/clock'
-import type { Choice } from '@umberspar/steering/common/entry/chooseUpstream'
+import type { UpstreamChoice } from '@umberspar/steering/common/entry/chooseUpstream'
 import type { AttemptLogFields } from '../telemetry/entryTelemetry.js'
 
 type ChoiceLogFields = Pick<AttemptLogFields, 'worker' | 'domain' | 'rank' | 'hand' | 'handChance' | 'expectedMs' | 'waitMs' | 'value' | 'held' | 'failure' | 'slowness' | 'isCold'>
@@ -10,20 +10,20 @@
  * @param now the current time
  * @returns the log fields
  */
-export function describeChoice ({ candidate, expectedMs, waitMs, value }: Choice, now: Instant): ChoiceLogFields {
-  const { tracker, rank, hand, handChance } = candidate
+export function describeChoice ({ candidate, expectedMs, waitMs, score: value }: UpstreamChoice, now: Instant): ChoiceLogFields {
+  const { tracker, rank, cacheState: hand, cacheHitProbability: handChance } = candidate
   return {
-    worker: tracker.entry.id,
-    domain: tracker.entry.domain,
+    worker: tracker.registration.id,
+    domain: tracker.registration.domain,
     rank,
     hand,
     handChance,
     expectedMs,
     waitMs,
     value,
-    held: tracker.countHeld(now),
-    failure: tracker.getFailure(now),
-    slowness: tracker.getSlowness(now),
+    held: tracker.countInFlight(now),
+    failure: tracker.getFailureRate(now),
+    slowness: tracker.getSlowdown(now),
     isCold: tracker.isCold(now)
   }
 }
--- a/packages/entry/src/node/front/entryContext.ts
+++ b/packages/entry/src/node/front/entryContext.ts
@@ -2,17 +2,17 @@
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IRandomSource } from '@umberspar/base/common/random'
 import type { ByteCosts } from '@umberspar/steering/common/entry/chooseUpstream'
-import type { DomainDistances } from '@umberspar/steering/common/entry/domainDistances'
+import type { DomainRoundTrips } from '@umberspar/steering/common/entry/domainRoundTrips'
 import type { EntryView } from '@umberspar/steering/common/entry/entryView'
 import type { ICallerProtocol } from '@umberspar/steering/common/ports/callerProtocol'
-import type { AccessController } from '../accounts/accessGate.js'
-import type { RecordsAge } from '../beliefs/recordsAge.js'
+import type { AccessController } from '../accounts/accessController.js'
+import type { RecordsAge } from '../replica/recordsAge.js'
 import type { RequestQuarantine } from '../quarantine/requestQuarantine.js'
 import type { AccountQuotas } from '../quota/accountQuotas.js'
 import type { EntryTelemetry } from '../telemetry/entryTelemetry.js'
 import type { UpstreamPools } from '../upstream/upstreamPools.js'
 import type { BodyMemoryBudget } from './bodyReader.js'
-import type { HeaderRewriter } from './requestHead.js'
+import type { HeaderRewriter } from './headerRewriter.js'
 
 /** The shared services of one process. */
 export interface EntryContext {
@@ -24,7 +24,7 @@
   readonly accessController: AccessController
   readonly quotas: AccountQuotas
   readonly quarantine: RequestQuarantine
-  readonly distances: DomainDistances
+  readonly roundTrips: DomainRoundTrips
   readonly pools: UpstreamPools
   readonly bodyMemoryBudget: BodyMemoryBudget
   readonly byteCosts: ByteCosts
--- a/packages/entry/src/node/front/requestHead.ts
+++ b/packages/entry/src/node/front/headerRewriter.ts
@@ -30,7 +30,7 @@
     this.reservedFields = new Set([names.deadlineMs, names.expectedWorker, names.account])
     this.reservedFieldsAndKey = new Set([...this.reservedFields, 'authorization'])
     this.preservedFields = new Set([names.requestId, names.deadlineMs, names.seal, names.notRun])
-    this.affinityCookiePattern = new RegExp(`(?:^|;)\\s*${names.keyCookie}=([^;]*)`, 'i')
+    this.affinityCookiePattern = new RegExp(`(?:^|;)\\s*${names.affinityCookie}=([^;]*)`, 'i')
   }
 
   /** @returns the request id, which differs each time a caller sends a request */
--- a/packages/entry/src/node/front/requestRun.ts
+++ b/packages/entry/src/node/front/proxiedRequest.ts
@@ -5,22 +5,22 @@
  */
 import type { Instant, ITimer } from '@umberspar/base/common/clock'
 import type { Deadline } from '@umberspar/base/common/deadline'
-import { shouldOffer } from '@umberspar/steering/common/entry/admission'
-import { mergeHomes } from '@umberspar/steering/common/entry/accountTable'
-import { type Choice, chooseUpstream } from '@umberspar/steering/common/entry/chooseUpstream'
-import { AccessEnd } from '@umberspar/steering/common/entry/decideAccess'
-import { computeRetry, addSpread } from '@umberspar/steering/common/entry/comeBack'
-import { mayOfferAfterRefusal, mayOfferAfterRun, mayOfferAfterUnsent } from '@umberspar/steering/common/entry/offerAgain'
-import type { QuotaToken } from '@umberspar/steering/common/quota/quotaStock'
-import { QuotaEnd } from '../quota/accountQuota.js'
-import { EndReason, AttemptOutcome, RequestOutcome } from '../telemetry/requestEvents.js'
-import type { AnswerHead } from '../upstream/answerParser.js'
-import type { CallerResponse } from './callerAnswer.js'
+import { shouldAdmit } from '@umberspar/steering/common/entry/admission'
+import { computeHomeRegions } from '@umberspar/steering/common/entry/accountTable'
+import { type UpstreamChoice, chooseUpstream } from '@umberspar/steering/common/entry/chooseUpstream'
+import { AccessOutcome } from '@umberspar/steering/common/entry/decideAccess'
+import { computeRetryDelayMs, addRetryJitter } from '@umberspar/steering/common/entry/retryDelay'
+import { mayRetryAfterRefusal, mayRetryAfterPossibleRun, mayRetryAfterUnsent } from '@umberspar/steering/common/entry/mayRetry'
+import type { QuotaToken } from '@umberspar/steering/common/quota/quotaTokenPool'
+import { QuotaOutcome } from '../quota/accountQuota.js'
+import { EndReason, AttemptOutcome, RequestOutcome } from '../telemetry/requestOutcomes.js'
+import type { ResponseHead } from '../upstream/responseParser.js'
+import type { CallerResponse } from './callerResponse.js'
 import { describeChoice } from './describeChoice.js'
 import type { EntryContext } from './entryContext.js'
-import { UpstreamAttempt, type AttemptResult } from './offer.js'
-import type { BufferedResponse } from './answerCollector.js'
-import type { BufferedRequest } from './readRequest.js'
+import { UpstreamAttempt, type AttemptResult } from './upstreamAttempt.js'
+import type { BufferedResponse } from './responseCollector.js'
+import type { BufferedRequest } from './bufferedRequest.js'
 import { getRefusal, REASON_BY_DENIAL } from './refusals.js'
 
 /** Statuses whose responses carry `Retry-After`. */
@@ -53,7 +53,7 @@
    */
   constructor (private readonly context: EntryContext, private readonly request: BufferedRequest, private readonly response: CallerResponse) {
     const { route, arrivedAt, callerDeadline } = request
-    this.service = context.view.parts.choose(route)
+    this.service = context.view.roundRobin.chooseService(route)
     this.affinityKey = context.headerRewriter.getAffinityKey(request.message, route)
     this.deadline = Math.min(callerDeadline, arrivedAt + route.timeoutMs)
   }
@@ -63,7 +63,7 @@
     this.response.onDidDisconnect(() => { this.handleDisconnect() })
     this.response.onDidDrain(() => { this.currentAttempt?.resume() })
     // Once per request, sent or not: the retry budget grows with requests, not with attempts to open a connection.
-    this.context.view.readRepeats(this.service).recordFirst(this.context.clock.now())
+    this.context.view.getRetryBudget(this.service).recordFirstAttempt(this.context.clock.now())
     this.deadlineTimer = this.context.clock.schedule(this.deadline + RESPONSE_SLACK_MS, () => { this.handleDeadline() })
     const blockedMs = this.context.quarantine.getBlockedMs(this.request.digest)
     if (blockedMs > 0) this.answerLocally(EndReason.Quarantined, blockedMs)
@@ -75,11 +75,11 @@
     const { account } = this.context.accessController.decide(this.request.route, this.request.keyDigest)
     this.accountName = account?.name
     if (account === undefined) return this.startNextAttempt()
-    this.context.quotas.take(account, ({ end, token, waitMs }) => {
+    this.context.quotas.take(account, ({ outcome: end, token, waitMs }) => {
       this.quotaToken = token
       if (this.isEnded) this.returnQuota()
-      else if (end === QuotaEnd.Given) this.startNextAttempt()
-      else this.answerLocally(end === QuotaEnd.Spent ? EndReason.QuotaExhausted : EndReason.QuotaUnknown, addSpread(waitMs, this.context.random))
+      else if (end === QuotaOutcome.Granted) this.startNextAttempt()
+      else this.answerLocally(end === QuotaOutcome.Exhausted ? EndReason.QuotaExhausted : EndReason.QuotaUnknown, addRetryJitter(waitMs, this.context.random))
     })
   }
 
@@ -97,16 +97,16 @@
     const { clock, view, accessController } = context
     const now = clock.now()
     const access = accessController.decide(this.request.route, this.request.keyDigest)
-    if (access.end !== AccessEnd.Allowed) return this.endWithoutResponse(REASON_BY_DENIAL[access.end])
+    if (access.outcome !== AccessOutcome.Allowed) return this.endWithoutResponse(REASON_BY_DENIAL[access.outcome])
     if (context.quarantine.getBlockedMs(this.request.digest) > 0) return this.endWithoutResponse(EndReason.Quarantined)
-    const homeRegions = mergeHomes(this.request.route, access.account)
+    const homeRegions = computeHomeRegions(this.request.route, access.account)
     if (homeRegions === undefined) return this.endWithoutResponse(EndReason.NoHomeRegion)
     const choice = this.chooseWorker(homeRegions, now)
     if (choice === undefined) return this.endWithoutCandidates(now)
     if (!this.shouldAttempt(choice, now)) return this.endWithoutResponse(EndReason.DeadlineUnreachable, choice)
-    if (this.attemptCounts.sent > 0 && !view.readRepeats(this.service).take(now)) return this.endWithoutResponse(EndReason.RetryBudgetExhausted, choice)
+    if (this.attemptCounts.sent > 0 && !view.getRetryBudget(this.service).take(now)) return this.endWithoutResponse(EndReason.RetryBudgetExhausted, choice)
     this.logAttempt(choice, now)
-    const { id } = choice.candidate.tracker.entry
+    const { id } = choice.candidate.tracker.registration
     this.triedWorkers.add(id)
     this.currentAttempt = new UpstreamAttempt(this.context, this.request, choice, this.service, this.affinityKey, this.deadline, {
       mayStillSend: () => this.context.quarantine.getBlockedMs(this.request.digest) === 0,
@@ -118,21 +118,21 @@
     this.currentAttempt.start()
   }
 
-  private shouldAttempt (choice: Choice, now: Instant): boolean {
+  private shouldAttempt (choice: UpstreamChoice, now: Instant): boolean {
     const { view } = this.context
-    const { isLearned } = view.readWork(this.request.route, this.service)
-    const busyness = view.readRoster(this.service).getBusyness(now)
-    return shouldOffer(choice, { now, latestAt: this.deadline, isLearned, wasSent: this.attemptCounts.sent > 0, busyness })
+    const { hasEnoughSamples } = view.getServiceTimes(this.request.route, this.service)
+    const saturation = view.getPool(this.service).getSaturation(now)
+    return shouldAdmit(choice, { now, deadline: this.deadline, hasEnoughSamples, wasSent: this.attemptCounts.sent > 0, saturation })
   }
 
-  private chooseWorker (homeRegions: readonly string[], now: Instant): Choice | undefined {
+  private chooseWorker (homeRegions: readonly string[], now: Instant): UpstreamChoice | undefined {
     const { view, byteCosts } = this.context
     const { route, body, arrivedAt } = this.request
-    const work = view.readWork(route, this.service)
-    const roster = view.readRoster(this.service)
-    const candidates = roster.listCandidates({ homeRegions, key: this.affinityKey, tried: this.triedWorkers }, work, view.evacuated, now)
-    const need = { now, goalAt: arrivedAt + route.goalMs, latestAt: this.deadline, bytes: body.length + work.getBytes(), busyness: roster.getBusyness(now) }
-    return chooseUpstream(candidates, need, byteCosts)
+    const work = view.getServiceTimes(route, this.service)
+    const pool = view.getPool(this.service)
+    const candidates = pool.listCandidates({ homeRegions, key: this.affinityKey, triedWorkers: this.triedWorkers }, work, view.evacuatedDomains, now)
+    const choiceContext = { now, goalAt: arrivedAt + route.goalMs, deadline: this.deadline, bytes: body.length + work.getMeanResponseBytes(), saturation: pool.getSaturation(now) }
+    return chooseUpstream(candidates, choiceContext, byteCosts)
   }
 
   private handleAttemptResult (result: AttemptResult): void {
@@ -163,14 +163,14 @@
   /** Retries after an attempt that was not sent. */
   retryUnsent (): void {
     this.attemptCounts.unsent++
-    if (mayOfferAfterUnsent(this.attemptCounts)) this.startNextAttempt()
+    if (mayRetryAfterUnsent(this.attemptCounts)) this.startNextAttempt()
     else this.endWithoutResponse(EndReason.NoWorker)
   }
 
   /** Retries after a worker refused to run the request. */
   retryRefused (): void {
     this.attemptCounts.refused++
-    if (mayOfferAfterRefusal(this.request.route, this.attemptCounts)) this.startNextAttempt()
+    if (mayRetryAfterRefusal(this.request.route, this.attemptCounts)) this.startNextAttempt()
     else this.endWithoutResponse(EndReason.WorkersRefused)
   }
 
@@ -181,23 +181,23 @@
   retryPossiblyRun (fallback?: BufferedResponse): void {
     this.mayHaveRun = true
     this.fallbackResponse = fallback ?? this.fallbackResponse
-    if (mayOfferAfterRun(this.request.route, this.attemptCounts)) this.startNextAttempt()
+    if (mayRetryAfterPossibleRun(this.request.route, this.attemptCounts)) this.startNextAttempt()
     else this.endWithoutResponse(EndReason.WorkerFailed)
   }
 
   private endWithoutCandidates (now: Instant): void {
-    const rateWaitMs = this.context.view.readRoster(this.service).getRateWaitMs(now)
+    const rateWaitMs = this.context.view.getPool(this.service).getRateWaitMs(now)
     if (rateWaitMs === undefined || this.mayHaveRun) this.endWithoutResponse(EndReason.NoWorker)
-    else this.answerLocally(EndReason.RateLimited, addSpread(rateWaitMs, this.context.random))
+    else this.answerLocally(EndReason.RateLimited, addRetryJitter(rateWaitMs, this.context.random))
   }
 
-  private endWithoutResponse (reason: EndReason, choice?: Choice): void {
+  private endWithoutResponse (reason: EndReason, choice?: UpstreamChoice): void {
     if (this.fallbackResponse !== undefined) return this.deliver(this.fallbackResponse, reason)
     if (this.mayHaveRun) return this.answerLocally(reason === EndReason.NoResponse ? reason : EndReason.WorkerFailed)
     // The request has not run, so reasons that mean it may have run are replaced by a refusal.
     const hasOwnRefusal = reason !== EndReason.RetryBudgetExhausted && reason !== EndReason.WorkerFailed
     const blockedMs = reason === EndReason.Quarantined ? this.context.quarantine.getBlockedMs(this.request.digest) : 0
-    this.answerLocally(hasOwnRefusal ? reason : EndReason.WorkersRefused, Math.max(blockedMs, computeRetry(choice, this.context.random)))
+    this.answerLocally(hasOwnRefusal ? reason : EndReason.WorkersRefused, Math.max(blockedMs, computeRetryDelayMs(choice, this.context.random)))
   }
 
   private answerLocally (reason: EndReason, retryAfterMs?: number): void {
@@ -206,7 +206,7 @@
     this.finishRequest(outcome, reason, status, retryAfterMs)
   }
 
-  private startStream (head: AnswerHead): boolean {
+  private startStream (head: ResponseHead): boolean {
     this.response.startStream(head, this.context.headerRewriter.listResponseFields(head.rawHeaders))
     return true
   }
@@ -254,7 +254,7 @@
     })
   }
 
-  private logAttempt (choice: Choice, now: Instant): void {
+  private logAttempt (choice: UpstreamChoice, now: Instant): void {
     const { revision, ageMs } = this.context.getRecordsAge()
     this.context.telemetry.logAttempt({
       requestId: this.request.requestId,
--- a/packages/entry/src/node/front/refusals.ts
+++ b/packages/entry/src/node/front/refusals.ts
@@ -1,6 +1,6 @@
 /** The responses to requests that this VM refuses or fails itself. */
-import { AccessEnd } from '@umberspar/steering/common/entry/decideAccess'
-import { EndReason, RequestOutcome } from '../telemetry/requestEvents.js'
+import { AccessOutcome } from '@umberspar/steering/common/entry/decideAccess'
+import { EndReason, RequestOutcome } from '../telemetry/requestOutcomes.js'
 
 /** The response for one reason. */
 export interface Refusal {
@@ -33,9 +33,9 @@
 }
 
 /** The reason recorded for a request that access control denies. */
-export const REASON_BY_DENIAL: Readonly<Record<Exclude<AccessEnd, AccessEnd.Allowed>, EndReason>> = {
-  [AccessEnd.KeyUnknown]: EndReason.KeyUnknown,
-  [AccessEnd.RecordsStale]: EndReason.RecordsStale
+export const REASON_BY_DENIAL: Readonly<Record<Exclude<AccessOutcome, AccessOutcome.Allowed>, EndReason>> = {
+  [AccessOutcome.KeyUnknown]: EndReason.KeyUnknown,
+  [AccessOutcome.RecordsStale]: EndReason.RecordsStale
 }
 
 /**
--- a/packages/entry/src/node/front/answerCollector.ts
+++ b/packages/entry/src/node/front/responseCollector.ts
@@ -3,7 +3,7 @@
  * a request whose response is cut short can still be retried or answered with an error. Longer
  * responses are streamed, as buffering them would use too much memory.
  */
-import type { AnswerHead } from '../upstream/answerParser.js'
+import type { ResponseHead } from '../upstream/responseParser.js'
 import { ExchangeFailure, type ExchangeListener } from '../upstream/upstreamConnection.js'
 
 /** Longer responses are streamed. */
@@ -11,7 +11,7 @@
 
 /** A complete response. */
 export interface BufferedResponse {
-  readonly head: AnswerHead
+  readonly head: ResponseHead
   readonly body: readonly Buffer[]
   readonly length: number
 }
@@ -20,7 +20,7 @@
 export interface ResponseListener {
   onComplete(response: BufferedResponse): void
   /** @returns whether this response may be streamed, that is, forwarded before it is complete */
-  onStreamStart(head: AnswerHead): boolean
+  onStreamStart(head: ResponseHead): boolean
   onStreamData(chunk: Buffer): void
   onStreamEnd(length: number): void
   /** @param isStreaming whether part of the response was already streamed */
@@ -29,7 +29,7 @@
 
 /** Collects one response. */
 export class ResponseCollector implements ExchangeListener {
-  private head: AnswerHead | undefined
+  private head: ResponseHead | undefined
   private body: Buffer[] = []
   private length = 0
   private isStreaming = false
@@ -42,7 +42,7 @@
     return this.head !== undefined
   }
 
-  onHead (head: AnswerHead): void {
+  onHead (head: ResponseHead): void {
     this.head = head
   }
 
--- a/packages/entry/src/node/front/offer.ts
+++ b/packages/entry/src/node/front/upstreamAttempt.ts
@@ -5,19 +5,19 @@
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
-import type { Choice } from '@umberspar/steering/common/entry/chooseUpstream'
-import { AccessEnd } from '@umberspar/steering/common/entry/decideAccess'
-import { observeAnswer } from '@umberspar/steering/common/entry/offerLesson'
+import type { UpstreamChoice } from '@umberspar/steering/common/entry/chooseUpstream'
+import { AccessOutcome } from '@umberspar/steering/common/entry/decideAccess'
+import { observeResponse } from '@umberspar/steering/common/entry/observeResponse'
 import { UpstreamState } from '@umberspar/steering/common/entry/records'
-import type { OpenRequest } from '@umberspar/steering/common/entry/upstreamTracker'
-import { AttemptOutcome } from '../telemetry/requestEvents.js'
-import type { AnswerHead } from '../upstream/answerParser.js'
+import type { InFlightRequest } from '@umberspar/steering/common/entry/upstreamTracker'
+import { AttemptOutcome } from '../telemetry/requestOutcomes.js'
+import type { ResponseHead } from '../upstream/responseParser.js'
 import { getHeader } from '../upstream/rawHeaders.js'
 import { ExchangeFailure, UpstreamConnection } from '../upstream/upstreamConnection.js'
 import { OpenFailure } from '../upstream/upstreamPool.js'
-import { ResponseCollector, type BufferedResponse } from './answerCollector.js'
+import { ResponseCollector, type BufferedResponse } from './responseCollector.js'
 import type { EntryContext } from './entryContext.js'
-import type { BufferedRequest } from './readRequest.js'
+import type { BufferedRequest } from './bufferedRequest.js'
 
 /** The result of an attempt. */
 export interface AttemptResult {
@@ -35,7 +35,7 @@
   mayStillSend(): boolean
   /** Called when the request is sent; from then on it may run. */
   onSent(): void
-  onStreamStart(head: AnswerHead): boolean
+  onStreamStart(head: ResponseHead): boolean
   onStreamData(chunk: Buffer): void
   /** Called once, when the attempt has ended. */
   onEnd(result: AttemptResult): void
@@ -57,7 +57,7 @@
 
 const OUTCOME_BY_FAILURE: Readonly<Record<ExchangeFailure, AttemptOutcome>> = {
   [ExchangeFailure.Broken]: AttemptOutcome.ConnectionLost,
-  [ExchangeFailure.Garbled]: AttemptOutcome.MalformedResponse,
+  [ExchangeFailure.InvalidResponse]: AttemptOutcome.MalformedResponse,
   [ExchangeFailure.Cancelled]: AttemptOutcome.Cancelled
 }
 
@@ -65,7 +65,7 @@
 export class UpstreamAttempt {
   private connection: UpstreamConnection | undefined
   private collector: ResponseCollector | undefined
-  private openRequest: OpenRequest | undefined
+  private openRequest: InFlightRequest | undefined
   private sentAt: Instant = 0
   /** How long the connection had been idle; undefined for a new connection. */
   private idleMs: number | undefined
@@ -86,7 +86,7 @@
   constructor (
     private readonly context: EntryContext,
     private readonly request: BufferedRequest,
-    private readonly choice: Choice,
+    private readonly choice: UpstreamChoice,
     private readonly service: string,
     private readonly affinityKey: string | undefined,
     private readonly deadline: Deadline,
@@ -107,11 +107,11 @@
     const { clock, view, pools } = this.context
     const now = clock.now()
     // Counted before the connection is open, so that decisions made meanwhile take this request into account.
-    this.openRequest = this.tracker.start(now, this.choice.expectedMs)
-    const maxConnections = view.readRoster(this.service).policy?.maxConnections ?? 0
+    this.openRequest = this.tracker.startRequest(now, this.choice.expectedMs)
+    const maxConnections = view.getPool(this.service).policy?.maxConnections ?? 0
     const maxOwnConnections = maxConnections === 0 ? DEFAULT_MAX_CONNECTIONS : Math.max(MIN_CONNECTIONS_PER_WORKER, Math.floor(maxConnections / view.countNodes()))
     const connectDeadline = Math.min(this.deadline, createDeadline(now, this.choice.candidate.roundTripMs + CONNECT_SLACK_MS))
-    pools.read(this.tracker.entry).open(maxOwnConnections, connectDeadline, (result, openMs) => { this.handleOpen(result, openMs) })
+    pools.getPool(this.tracker.registration).open(maxOwnConnections, connectDeadline, (result, openMs) => { this.handleOpen(result, openMs) })
   }
 
   /** Cancels the attempt; the worker notices it by the closed connection. */
@@ -138,7 +138,7 @@
       this.end({ outcome: AttemptOutcome.NotSent })
       return
     }
-    if (openMs > 0) this.context.distances.record(this.tracker.entry.domain, openMs)
+    if (openMs > 0) this.context.roundTrips.record(this.tracker.registration.domain, openMs)
     if (this.isEnded) {
       result.close()
       return
@@ -146,7 +146,7 @@
     const { route, keyDigest } = this.request
     // Checked again, because opening the connection takes time and the process may have been suspended.
     const access = this.context.accessController.decide(route, keyDigest)
-    if (access.end !== AccessEnd.Allowed || !this.isStillEligible() || !this.listener.mayStillSend()) {
+    if (access.outcome !== AccessOutcome.Allowed || !this.isStillEligible() || !this.listener.mayStillSend()) {
       result.close()
       this.end({ outcome: AttemptOutcome.Withdrawn })
       return
@@ -156,9 +156,9 @@
 
   /** While the connection was opened, the worker may have started to drain, or its failure domain may have been evacuated. */
   private isStillEligible (): boolean {
-    const { entry } = this.tracker
-    if (entry.state !== UpstreamState.Ready || this.context.view.evacuated.has(entry.domain)) return false
-    return this.context.view.readRoster(this.service).has(entry.id)
+    const { registration: entry } = this.tracker
+    if (entry.state !== UpstreamState.Ready || this.context.view.evacuatedDomains.has(entry.domain)) return false
+    return this.context.view.getPool(this.service).has(entry.id)
   }
 
   private send (connection: UpstreamConnection, now: Instant, accountName: string | undefined): void {
@@ -175,12 +175,12 @@
     })
     const { message, body, requestId } = this.request
     const remainingMs = this.deadline - now - this.choice.candidate.roundTripMs / 2
-    const head = this.context.headerRewriter.formatRequestHead(message, body.length, this.tracker.entry.id, remainingMs, { hasKeys: this.context.view.accounts !== undefined, account: accountName })
+    const head = this.context.headerRewriter.formatRequestHead(message, body.length, this.tracker.registration.id, remainingMs, { hasKeys: this.context.view.accounts !== undefined, account: accountName })
     this.listener.onSent()
     connection.send({ head, body: body.chunks, requestId, isHead: message.method === 'HEAD' }, this.collector)
   }
 
-  private handleStreamStart (head: AnswerHead): boolean {
+  private handleStreamStart (head: ResponseHead): boolean {
     if (this.isEnded || this.classifyResponse(head) !== AttemptOutcome.Answered) return false
     this.recordRateLimit(head)
     this.isStreaming = this.listener.onStreamStart(head)
@@ -205,16 +205,16 @@
 
   private handleFailure (failure: ExchangeFailure, isStreaming: boolean): void {
     const isLostWhileIdle = failure === ExchangeFailure.Broken && this.idleMs !== undefined && this.collector?.hasHead === false
-    if (isLostWhileIdle) this.context.pools.idleLimit.recordBreak(this.idleMs!, this.context.clock.now())
+    if (isLostWhileIdle) this.context.pools.idleLimit.recordReset(this.idleMs!, this.context.clock.now())
     if (failure !== ExchangeFailure.Cancelled) this.recordOutcome(OUTCOME_BY_FAILURE[failure], 0)
     if (failure === ExchangeFailure.Broken) {
-      this.context.quarantine.handleBreak({ digest: this.request.digest.read(), service: this.service, worker: this.tracker.entry, round: this.round })
+      this.context.quarantine.handleBrokenConnection({ digest: this.request.digest.read(), service: this.service, worker: this.tracker.registration, round: this.round })
     }
     this.end({ outcome: OUTCOME_BY_FAILURE[failure], isStreaming })
   }
 
-  private classifyResponse (head: AnswerHead): AttemptOutcome {
-    const { headers, otherWorkerStatus } = this.context.protocol
+  private classifyResponse (head: ResponseHead): AttemptOutcome {
+    const { headers, misdirectedRequestStatus: otherWorkerStatus } = this.context.protocol
     if (head.status === otherWorkerStatus) return AttemptOutcome.AddressReused
     if (getHeader(head.rawHeaders, headers.notRun) !== undefined) return AttemptOutcome.RefusedByWorker
     const isSuccess = head.status >= MIN_SUCCESS_STATUS && head.status < MIN_REDIRECT_STATUS
@@ -223,7 +223,7 @@
     return head.status >= MIN_FAILURE_STATUS ? AttemptOutcome.FailedByWorker : AttemptOutcome.Answered
   }
 
-  private recordLoad (head: AnswerHead): void {
+  private recordLoad (head: ResponseHead): void {
     const { headers } = this.context.protocol
     const fields = getHeader(head.rawHeaders, headers.load)?.split(',').slice(0, MIN_LOAD_FIELDS).map(Number) ?? []
     const [running, waiting, slots] = fields
@@ -231,13 +231,13 @@
     this.tracker.recordReport({ running: running!, waiting: waiting!, slots: slots! }, this.context.clock.now())
   }
 
-  private recordRateLimit (head: AnswerHead): void {
+  private recordRateLimit (head: ResponseHead): void {
     const { headers } = this.context.protocol
     const perSecond = parseRateLimit(headers.rateLimit.map((name) => getHeader(head.rawHeaders, name)).find((text) => text !== undefined))
     this.tracker.rateLimitAt = this.context.clock.now()
     if (perSecond === this.tracker.rateLimit) return
     this.tracker.rateLimit = perSecond
-    this.context.telemetry.logRateLimit(this.service, this.tracker.entry.id, perSecond)
+    this.context.telemetry.logRateLimit(this.service, this.tracker.registration.id, perSecond)
   }
 
   private recordOutcome (outcome: AttemptOutcome, bytes: number): void {
@@ -246,22 +246,22 @@
     if (outcome === AttemptOutcome.AddressReused) this.tracker.recordUnreachable(now)
     if (outcome !== AttemptOutcome.Answered) return
     const { view, quarantine } = this.context
-    quarantine.handleAnswer(this.request.digest)
+    quarantine.handleResponse(this.request.digest)
     const observation = { choice: this.choice, key: this.affinityKey, tookMs: now - this.sentAt, bytes, now }
-    observeAnswer(observation, view.readRoster(this.service), view.readWork(this.request.route, this.service))
+    observeResponse(observation, view.getPool(this.service), view.getServiceTimes(this.request.route, this.service))
   }
 
   private end (result: AttemptResult): void {
     if (this.isEnded) return
     this.isEnded = true
-    if (this.openRequest !== undefined) this.tracker.finish(this.openRequest)
+    if (this.openRequest !== undefined) this.tracker.finishRequest(this.openRequest)
     const spanMs = this.sentAt === 0 ? 0 : this.context.clock.now() - this.sentAt
     this.context.telemetry.logAttemptEnd({
       requestId: this.request.requestId,
       // Computing the digest hashes the whole body, so it is logged only if attempts of a request must be correlated.
       digest: result.outcome === AttemptOutcome.ConnectionLost ? this.request.digest.read() : undefined,
       service: this.service,
-      worker: this.tracker.entry.id,
+      worker: this.tracker.registration.id,
       end: result.outcome,
       spanMs,
       status: result.status
--- a/packages/entry/src/node/lookup/questionServer.ts
+++ b/packages/entry/src/node/lookup/endpointServer.ts
@@ -5,23 +5,23 @@
 import type { ICallerProtocol } from '@umberspar/steering/common/ports/callerProtocol'
 
 /** A complete response. */
-export interface PlainAnswer {
+export interface PlainResponse {
   readonly status: number
   readonly contentType: string
   readonly body: string
 }
 
 /** Handles requests for one path. */
-export type PathHandler = (query: URLSearchParams) => PlainAnswer | Promise<PlainAnswer>
+export type PathHandler = (query: URLSearchParams) => PlainResponse | Promise<PlainResponse>
 
 /** Handles requests for one path with a response that stays open until the client disconnects. */
 export type StreamHandler = (query: URLSearchParams, response: ServerResponse) => void
 
 /** The content type of the Prometheus text format. */
 export const METRICS_CONTENT_TYPE = 'text/plain; version=0.0.4'
-export const READY_RESPONSE: PlainAnswer = { status: 200, contentType: 'text/plain', body: 'ready\n' }
-export const NOT_READY_RESPONSE: PlainAnswer = { status: 503, contentType: 'text/plain', body: 'not ready\n' }
-const NOT_FOUND_RESPONSE: PlainAnswer = { status: 404, contentType: 'text/plain', body: 'no such path\n' }
+export const READY_RESPONSE: PlainResponse = { status: 200, contentType: 'text/plain', body: 'ready\n' }
+export const NOT_READY_RESPONSE: PlainResponse = { status: 503, contentType: 'text/plain', body: 'not ready\n' }
+const NOT_FOUND_RESPONSE: PlainResponse = { status: 404, contentType: 'text/plain', body: 'no such path\n' }
 /** Keeps connections open between requests: the platform and callers send one every second or two. */
 const KEEP_ALIVE_TIMEOUT_MS = 10_000
 
@@ -88,7 +88,7 @@
   }
 }
 
-function writeResponse (response: ServerResponse, { status, contentType, body }: PlainAnswer): void {
+function writeResponse (response: ServerResponse, { status, contentType, body }: PlainResponse): void {
   response.sendDate = false
   response.writeHead(status, { 'Content-Type': contentType, 'Content-Length': Buffer.byteLength(body) })
   response.end(body)
--- a/packages/entry/src/node/peers/recordTeller.ts
+++ b/packages/entry/src/node/peers/recordPublisher.ts
@@ -7,10 +7,10 @@
 import type { IClock, Instant, ITimer } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
-import type { RecordNews } from '@umberspar/steering/common/entry/recordNews'
+import type { RecordUpdate } from '@umberspar/steering/common/entry/recordUpdate'
 import { formatRecordLine } from '../../common/recordLines.js'
 import type { EntryTelemetry } from '../telemetry/entryTelemetry.js'
-import { encodeLine } from './packedLine.js'
+import { encodeLine } from './compressedLine.js'
 
 /** A subscriber that receives nothing for three intervals switches to another source. */
 export const HEARTBEAT_INTERVAL_MS = 500
@@ -26,7 +26,7 @@
 const UNAVAILABLE = 503
 
 /** Receives the amount of published data. */
-export type PublisherTelemetry = Pick<EntryTelemetry, 'countTold' | 'logLongLine'>
+export type PublisherTelemetry = Pick<EntryTelemetry, 'countSentRecordBytes' | 'logLargeRecordUpdate'>
 
 /** The records that are published. */
 export interface PublisherSource {
@@ -38,7 +38,7 @@
   /** See {@link RecordLine.proofAgeMs}. */
   readonly proofAgeMs: number | undefined
   /** @returns the update for a VM that has the given revision; undefined if there is nothing new */
-  readUpdateAfter(revision: number): RecordNews | undefined
+  readUpdateAfter(revision: number): RecordUpdate | undefined
 }
 
 /** A VM that is subscribed to this one. */
@@ -81,7 +81,7 @@
     return Math.max(0, ...[...this.subscribers].map(({ response }) => response.writableLength))
   }
 
-  countListeners (): number {
+  countSubscribers (): number {
     return this.subscribers.size
   }
 
@@ -173,14 +173,14 @@
 
   private logIfLong ({ bytes, isWhole, subscriberCount: listeners }: EncodedLine): void {
     if (bytes < LONG_LINE_BYTES || listeners === 0) return
-    this.telemetry.logLongLine({ revision: this.source.revision, isWhole, bytes, listeners, waitingBytes: this.countWaitingBytes() })
+    this.telemetry.logLargeRecordUpdate({ revision: this.source.revision, isWhole, bytes, listeners, waitingBytes: this.countWaitingBytes() })
   }
 
   private send (subscriber: Subscriber, line: EncodedLine): void {
     const hasRoom = subscriber.response.write(line.text)
     if (!hasRoom) subscriber.drainDeadline = createDeadline(this.clock.now(), STALL_TIMEOUT_MS)
     line.subscriberCount++
-    this.telemetry.countTold(line.bytes)
+    this.telemetry.countSentRecordBytes(line.bytes)
     subscriber.sentRevision = Math.max(subscriber.sentRevision, this.source.revision)
     subscriber.sentVia = this.formatVia()
     subscriber.sentFreshAsOf = this.computeFreshAsOf()
--- a/packages/entry/src/node/peers/recordHearer.ts
+++ b/packages/entry/src/node/peers/recordSubscriber.ts
@@ -10,7 +10,7 @@
 import { type ILogger, logError, LogLevel } from '@umberspar/base/common/logger'
 import { addJitter, type IRandomSource } from '@umberspar/base/common/random'
 import type { RecordLine } from '../../common/recordLines.js'
-import { RecordSubscription } from './recordHearing.js'
+import { RecordSubscription } from './recordSubscription.js'
 
 /** Two sources, so that updates continue while one of them stops sending. */
 const TARGET_SOURCES = 2
--- a/packages/entry/src/node/peers/recordHearing.ts
+++ b/packages/entry/src/node/peers/recordSubscription.ts
@@ -4,11 +4,11 @@
 import type { IClosable } from '@umberspar/base/common/closing'
 import type { ElapsedClock } from '@umberspar/base/common/elapsedClock'
 import type { StepError } from '@umberspar/base/common/errors'
-import { HeardClock } from '@umberspar/steering/common/entry/heardClock'
+import { PeerClock } from '@umberspar/steering/common/entry/peerClock'
 import { parseRecordLine, type RecordLine, RECORDS_PATH } from '../../common/recordLines.js'
 import { splitAddress } from '../address.js'
-import { decodeLine } from './packedLine.js'
-import { HEARTBEAT_INTERVAL_MS } from './recordTeller.js'
+import { decodeLine } from './compressedLine.js'
+import { HEARTBEAT_INTERVAL_MS } from './recordPublisher.js'
 
 /** A VM that sends nothing for three heartbeats is paused, partitioned or down. */
 const SILENCE_TIMEOUT_MS = 3 * HEARTBEAT_INTERVAL_MS
@@ -28,7 +28,7 @@
 
 /** A subscription to the records of one VM. */
 export class RecordSubscription implements IClosable {
-  private readonly publisherClock: HeardClock
+  private readonly publisherClock: PeerClock
   private readonly request: ClientRequest
   private timer: ITimer
   private isEnded = false
@@ -48,7 +48,7 @@
     private readonly elapsed: ElapsedClock,
     private readonly listener: SubscriptionListener
   ) {
-    this.publisherClock = new HeardClock(elapsed.now())
+    this.publisherClock = new PeerClock(elapsed.now())
     this.request = get({ ...splitAddress(address), path: `${RECORDS_PATH}?after=${revision}`, agent: false }, (response) => { this.handleResponse(response) })
     // Not logged: there are several sources, and the subscriber tries the next one.
     this.request.on('error', () => { this.end(undefined) })
@@ -57,7 +57,7 @@
 
   /** @returns whether a new subscription would determine the freshness of the records noticeably more precisely */
   get isClockUncertain (): boolean {
-    return this.publisherClock.isDoubtful(this.elapsed.now())
+    return this.publisherClock.isUncertain(this.elapsed.now())
   }
 
   /** Ends the subscription without telling the listener. */
@@ -101,8 +101,8 @@
   }
 
   private computeFreshAsOf ({ clockMs, proofAgeMs }: RecordLine): Instant {
-    this.publisherClock.recordLine(clockMs, this.elapsed.now())
-    return proofAgeMs === undefined ? Number.NEGATIVE_INFINITY : this.publisherClock.toOwnInstant(clockMs - proofAgeMs)
+    this.publisherClock.recordReading(clockMs, this.elapsed.now())
+    return proofAgeMs === undefined ? Number.NEGATIVE_INFINITY : this.publisherClock.toLocalInstant(clockMs - proofAgeMs)
   }
 
   private end (error: StepError | undefined): void {
--- a/packages/entry/src/node/quarantine/crashReporter.ts
+++ b/packages/entry/src/node/quarantine/crashReporter.ts
@@ -20,7 +20,7 @@
 const MAX_REPORTS = 128
 
 /** Options of a {@link CrashReporter}. */
-export interface CrashReporterOptions {
+export interface CrashReporterDependencies {
   readonly clock: IClock
   readonly logger: ILogger
   readonly view: EntryView
@@ -50,7 +50,7 @@
   private timer: ITimer | undefined
   private dueAt: Deadline = Infinity
 
-  constructor (private readonly options: CrashReporterOptions) {}
+  constructor (private readonly dependencies: CrashReporterDependencies) {}
 
   /** Schedules the report of a crash. */
   addCrash (report: CrashReport): void {
@@ -82,11 +82,11 @@
   }
 
   private addExpiry<T> (report: T): Expiring<T> {
-    return { report, expiresAt: this.options.clock.getWallTime() + this.options.reportLifetimeMs }
+    return { report, expiresAt: this.dependencies.clock.getWallTime() + this.dependencies.reportLifetimeMs }
   }
 
   private schedule (delayMs: number): void {
-    const { clock } = this.options
+    const { clock } = this.dependencies
     const dueAt = clock.now() + delayMs
     // A later report must not delay a write that is already scheduled.
     if (this.isWriting || this.isClosed || dueAt >= this.dueAt) return
@@ -94,7 +94,7 @@
     this.dueAt = dueAt
     this.timer = clock.schedule(dueAt, () => {
       this.dueAt = Infinity
-      runDetached(() => this.writeAll(), this.options.logger, 'report-crashes')
+      runDetached(() => this.writeAll(), this.dependencies.logger, 'report-crashes')
     })
   }
 
@@ -107,7 +107,7 @@
   }
 
   private async writeQuarantines (): Promise<boolean> {
-    const { view, writer, logger } = this.options
+    const { view, writer, logger } = this.dependencies
     for (const quarantine of [...this.quarantines.values()]) {
       const known = view.quarantines.get(quarantine.digest)
       const written = await writer.putQuarantine(quarantine, known?.revision ?? 0)
@@ -122,7 +122,7 @@
   }
 
   private async writeReports (): Promise<boolean> {
-    const { writer, logger, node, clock } = this.options
+    const { writer, logger, node, clock } = this.dependencies
     if (!this.isChanged) return true
     this.mergePrevious()
     const wallTime = clock.getWallTime()
@@ -143,7 +143,7 @@
   }
 
   private async removeReleased (): Promise<boolean> {
-    const { view, writer, logger } = this.options
+    const { view, writer, logger } = this.dependencies
     for (const digest of [...this.pendingReleases]) {
       const known = view.quarantines.get(digest)
       const removed = known === undefined ? undefined : await writer.remove(known)
@@ -158,7 +158,7 @@
 
   /** Keeps the reports of a previous process of this VM in the record. */
   private mergePrevious (): void {
-    const { view, node } = this.options
+    const { view, node } = this.dependencies
     if (this.hasMergedPrevious) return
     this.hasMergedPrevious = true
     const previous = view.crashReports.get(node)?.value
--- a/packages/entry/src/node/quarantine/recordSweeper.ts
+++ b/packages/entry/src/node/quarantine/recordSweeper.ts
@@ -13,7 +13,7 @@
 const CLOCK_TOLERANCE_MS = 30_000
 
 /** Options of a {@link RecordSweeper}. */
-export interface RecordSweeperOptions {
+export interface RecordSweeperDependencies {
   readonly clock: IClock
   readonly logger: ILogger
   readonly view: EntryView
@@ -27,11 +27,11 @@
   private timer: ITimer | undefined
   private isClosed = false
 
-  constructor (private readonly options: RecordSweeperOptions) {}
+  constructor (private readonly dependencies: RecordSweeperDependencies) {}
 
   /** Schedules a sweep, which repeats as long as there are any records. */
   schedule (): void {
-    const { clock, logger } = this.options
+    const { clock, logger } = this.dependencies
     if (this.isClosed) return
     this.timer ??= clock.schedule(clock.now() + SWEEP_INTERVAL_MS, () => {
       this.timer = undefined
@@ -45,7 +45,7 @@
   }
 
   private async removeExpired (): Promise<void> {
-    const { view, writer, logger, node, clock } = this.options
+    const { view, writer, logger, node, clock } = this.dependencies
     const records = [...view.crashReports.values(), ...view.quarantines.values()]
     const nodes = [...new Set([node, ...view.nodes.keys()])]
     const isFirst = rankByRendezvous('sweep', nodes)[0] === node
--- a/packages/entry/src/node/quarantine/requestQuarantine.ts
+++ b/packages/entry/src/node/quarantine/requestQuarantine.ts
@@ -8,7 +8,7 @@
 import { type ILogger, LogLevel } from '@umberspar/base/common/logger'
 import type { EntryView } from '@umberspar/steering/common/entry/entryView'
 import { ViewChange, type ViewEvent } from '@umberspar/steering/common/entry/viewEvent'
-import type { UpstreamEntry } from '@umberspar/steering/common/entry/records'
+import type { UpstreamRegistration } from '@umberspar/steering/common/entry/records'
 import type { IRecordWriter } from '@umberspar/steering/common/ports/steeringSource'
 import type { CrashReport } from '@umberspar/steering/common/quarantine/crashReport'
 import { ReportState, SuspectTable, toDeadline } from '@umberspar/steering/common/quarantine/suspectTable'
@@ -28,7 +28,7 @@
 const CHECK_TIMEOUT_MS = 500
 
 /** Options of a {@link RequestQuarantine}. */
-export interface RequestQuarantineOptions {
+export interface RequestQuarantineDependencies {
   readonly clock: IClock
   readonly logger: ILogger
   readonly view: EntryView
@@ -36,7 +36,7 @@
   /** This VM's name. */
   readonly node: string
   /** How long a request stays quarantined, in milliseconds. */
-  readonly quarantineSpanMs: number
+  readonly quarantineDurationMs: number
   readonly pools: UpstreamPools
 }
 
@@ -44,7 +44,7 @@
 export interface BrokenAttempt {
   readonly digest: string
   readonly service: string
-  readonly worker: UpstreamEntry
+  readonly worker: UpstreamRegistration
   /** The result of {@link RequestQuarantine.getNextRound} when the request was sent. */
   readonly round: number
 }
@@ -58,9 +58,9 @@
   private timer: ITimer | undefined
   private isClosed = false
 
-  constructor (private readonly options: RequestQuarantineOptions) {
-    this.reporter = new CrashReporter({ ...options, reportLifetimeMs: REPORT_LIFETIME_MS })
-    this.sweeper = new RecordSweeper(options)
+  constructor (private readonly dependencies: RequestQuarantineDependencies) {
+    this.reporter = new CrashReporter({ ...dependencies, reportLifetimeMs: REPORT_LIFETIME_MS })
+    this.sweeper = new RecordSweeper(dependencies)
   }
 
   /**
@@ -69,19 +69,19 @@
    */
   getBlockedMs (digest: RequestDigest): number {
     if (this.table.isEmpty) return 0
-    const now = this.options.clock.now()
+    const now = this.dependencies.clock.now()
     const until = this.table.getBlockedUntil(digest.read(), now)
     return until === undefined ? 0 : Math.max(PENDING_RETRY_DELAY_MS, until - now)
   }
 
   /** @returns the round in which a crash counts if it is caused by a request that is sent now */
   getNextRound (digest: RequestDigest): number {
-    return this.table.isEmpty ? 1 : this.table.getNextRound(digest.read(), this.options.clock.now())
+    return this.table.isEmpty ? 1 : this.table.getNextRound(digest.read(), this.dependencies.clock.now())
   }
 
   /** Handles a broken connection to a worker. A new connection determines whether the worker has crashed. */
-  handleBreak (attempt: BrokenAttempt): void {
-    const { clock } = this.options
+  handleBrokenConnection (attempt: BrokenAttempt): void {
+    const { clock } = this.dependencies
     const { digest, worker, round } = attempt
     const report: CrashReport = { digest, workerId: getWorkerInstanceId(worker), round }
     this.putCrash(report, ReportState.Pending, clock.now())
@@ -95,9 +95,9 @@
   }
 
   /** Handles a response of a worker, which refutes the crash reports about the request. */
-  handleAnswer (digest: RequestDigest): void {
+  handleResponse (digest: RequestDigest): void {
     if (this.table.isEmpty) return
-    const { clock } = this.options
+    const { clock } = this.dependencies
     const text = digest.read()
     const now = clock.now()
     const workerIds = this.table.listWorkers(text, now)
@@ -116,7 +116,7 @@
 
   /** @returns the numbers of quarantined and suspected requests, for metrics */
   readCounts (): { readonly quarantined: number, readonly suspects: number } {
-    return { quarantined: this.table.countQuarantined(this.options.clock.now()), suspects: this.table.countSuspects() }
+    return { quarantined: this.table.countQuarantined(this.dependencies.clock.now()), suspects: this.table.countSuspects() }
   }
 
   close (): void {
@@ -126,7 +126,7 @@
     this.sweeper.close()
   }
 
-  private checkWorker (worker: UpstreamEntry, onResult: (isListening: boolean) => void): void {
+  private checkWorker (worker: UpstreamRegistration, onResult: (isListening: boolean) => void): void {
     const key = getWorkerInstanceId(worker)
     const waiting = this.checks.get(key)
     if (waiting !== undefined) {
@@ -139,14 +139,14 @@
       this.checks.delete(key)
       for (const listener of listeners) listener(isListening)
     }
-    const { view, pools, clock } = this.options
+    const { view, pools, clock } = this.dependencies
     // A removed worker has no pool any more and needs no check.
-    if (view.readRoster(worker.service).has(worker.id)) pools.read(worker).probe(createDeadline(clock.now(), CHECK_TIMEOUT_MS), settle)
+    if (view.getPool(worker.service).has(worker.id)) pools.getPool(worker).probe(createDeadline(clock.now(), CHECK_TIMEOUT_MS), settle)
     else settle(false)
   }
 
   private confirmCrash (report: CrashReport, service: string): void {
-    const now = this.options.clock.now()
+    const now = this.dependencies.clock.now()
     this.putCrash(report, ReportState.Confirmed, now)
     this.reporter.addCrash(report)
     this.checkEvidence(report.digest, now, service)
@@ -158,7 +158,7 @@
   }
 
   private applyReports (node: string): void {
-    const { view, clock } = this.options
+    const { view, clock } = this.dependencies
     const reports = view.crashReports.get(node)
     if (reports === undefined) return
     const now = clock.now()
@@ -175,8 +175,8 @@
 
   /** @param service undefined if only other VMs reported the crashes, so that one of them writes the record */
   private checkEvidence (digest: string, now: Instant, service?: string): void {
-    const { clock, quarantineSpanMs: quarantineDurationMs } = this.options
-    if (!this.table.isEvident(digest, now)) return
+    const { clock, quarantineDurationMs } = this.dependencies
+    if (!this.table.hasConfirmedEvidence(digest, now)) return
     const isNew = this.table.getBlockedUntil(digest, now) === now
     if (!isNew) return
     this.table.putQuarantine(digest, createDeadline(now, quarantineDurationMs), now)
@@ -187,7 +187,7 @@
   }
 
   private applyQuarantine (digest: string): void {
-    const { view, clock, quarantineSpanMs: quarantineDurationMs } = this.options
+    const { view, clock, quarantineDurationMs } = this.dependencies
     const quarantine = view.quarantines.get(digest)
     if (quarantine === undefined) return
     const now = clock.now()
@@ -201,16 +201,16 @@
   }
 
   private releaseIfRefuted (digest: string): void {
-    const quarantine = this.options.view.quarantines.get(digest)
+    const quarantine = this.dependencies.view.quarantines.get(digest)
     if (quarantine !== undefined && this.table.isRefuted(digest, quarantine.value.workerIds)) this.table.removeQuarantine(digest)
   }
 
   private logQuarantine (digest: string, source: string, workerIds: readonly string[]): void {
-    this.options.logger.log(LogLevel.Warn, { step: 'quarantine-request', digest, source, workers: workerIds.join(' ') }, 'quarantined a request that crashes workers')
+    this.dependencies.logger.log(LogLevel.Warn, { step: 'quarantine-request', digest, source, workers: workerIds.join(' ') }, 'quarantined a request that crashes workers')
   }
 
   private scheduleCleanUp (): void {
-    const { clock } = this.options
+    const { clock } = this.dependencies
     if (this.isClosed) return
     this.timer ??= clock.schedule(clock.now() + CLEAN_UP_INTERVAL_MS, () => {
       this.timer = undefined
@@ -221,6 +221,6 @@
 }
 
 /** @returns an identifier of one start of a worker, also if workers keep their id when they restart */
-function getWorkerInstanceId ({ id, startedAt }: UpstreamEntry): string {
+function getWorkerInstanceId ({ id, startedAt }: UpstreamRegistration): string {
   return startedAt === undefined ? id : `${id}@${startedAt}`
 }
--- a/packages/entry/src/node/quota/accountQuota.ts
+++ b/packages/entry/src/node/quota/accountQuota.ts
@@ -5,24 +5,24 @@
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { type Deadline, hasPassed } from '@umberspar/base/common/deadline'
-import type { QuotaGrant } from '@umberspar/steering/common/quota/quotaBuckets'
+import type { QuotaGrant } from '@umberspar/steering/common/quota/quotaBucketTable'
 import type { QuotaShare } from '@umberspar/steering/common/quota/quotaShares'
-import { QuotaStock, type QuotaToken } from '@umberspar/steering/common/quota/quotaStock'
-import { TakeRate } from '@umberspar/steering/common/quota/takeRate'
+import { QuotaTokenPool, type QuotaToken } from '@umberspar/steering/common/quota/quotaTokenPool'
+import { RequestRate } from '@umberspar/steering/common/quota/requestRate'
 import type { QuotaRequest } from './quotaMessages.js'
 
 /** Whether a request is within the account's quota. */
-export enum QuotaEnd {
-  Given = 'given',
+export enum QuotaOutcome {
+  Granted = 'given',
   /** All share owners responded that the quota is exhausted. */
-  Spent = 'spent',
+  Exhausted = 'spent',
   /** Some share owners did not respond, and the others have no tokens left. */
   Unknown = 'unknown'
 }
 
 /** The decision on one request. */
 export interface QuotaDecision {
-  readonly end: QuotaEnd
+  readonly outcome: QuotaOutcome
   /** To be returned if the request certainly did not run. */
   readonly token?: QuotaToken
   /** If no token was granted: the time until tokens may be available again, in milliseconds. */
@@ -61,8 +61,8 @@
 
 /** The quota of one account at one VM. */
 export class AccountQuota {
-  private readonly tokens = new QuotaStock()
-  private readonly demandRate = new TakeRate()
+  private readonly tokens = new QuotaTokenPool()
+  private readonly demandRate = new RequestRate()
   private readonly exhaustedUntil = new Map<string, Deadline>()
   private readonly unresponsiveUntil = new Map<string, Deadline>()
   private waiting: QuotaListener[] = []
@@ -80,7 +80,7 @@
     this.demandRate.record(now)
     const token = this.waiting.length === 0 ? this.tokens.take(now) : undefined
     if (token !== undefined) {
-      listener({ end: QuotaEnd.Given, token, waitMs: 0 })
+      listener({ outcome: QuotaOutcome.Granted, token, waitMs: 0 })
       return
     }
     this.waiting.push(listener)
@@ -145,7 +145,7 @@
     const listener = this.waiting.shift()
     // The age of the token does not matter to a waiting request, which arrived before the token was granted.
     if (listener === undefined) this.tokens.put(token)
-    else listener({ end: QuotaEnd.Given, token, waitMs: 0 })
+    else listener({ outcome: QuotaOutcome.Granted, token, waitMs: 0 })
   }
 
   private endRound (): void {
@@ -154,7 +154,7 @@
     this.waiting = []
     const now = this.environment.now()
     const isUnresponsive = this.environment.listGroups().flat().some(({ name }) => !hasPassed(this.unresponsiveUntil.get(name) ?? now, now))
-    const decision: QuotaDecision = isUnresponsive ? { end: QuotaEnd.Unknown, waitMs: UNKNOWN_RETRY_DELAY_MS } : { end: QuotaEnd.Spent, waitMs: this.getExhaustedMs() }
+    const decision: QuotaDecision = isUnresponsive ? { outcome: QuotaOutcome.Unknown, waitMs: UNKNOWN_RETRY_DELAY_MS } : { outcome: QuotaOutcome.Exhausted, waitMs: this.getExhaustedMs() }
     for (const listener of waiting) listener(decision)
   }
 }
--- a/packages/entry/src/node/quota/accountQuotas.ts
+++ b/packages/entry/src/node/quota/accountQuotas.ts
@@ -1,46 +1,46 @@
 /** The quotas of all accounts at one VM: requests tokens from share owners, and grants tokens of the shares that this VM owns. */
 import type { IClosable } from '@umberspar/base/common/closing'
-import type { DomainDistances } from '@umberspar/steering/common/entry/domainDistances'
+import type { DomainRoundTrips } from '@umberspar/steering/common/entry/domainRoundTrips'
 import { ViewChange } from '@umberspar/steering/common/entry/viewEvent'
 import type { AccountPolicy } from '@umberspar/steering/common/entry/steeringDocument'
-import { QuotaBuckets, type QuotaGrant } from '@umberspar/steering/common/quota/quotaBuckets'
-import type { QuotaTolerance } from '@umberspar/steering/common/quota/quotaBudget'
-import { listAccountShares, type QuotaShare, splitByNearness } from '@umberspar/steering/common/quota/quotaShares'
-import type { QuotaToken } from '@umberspar/steering/common/quota/quotaStock'
-import type { PathHandler, PlainAnswer } from '../lookup/questionServer.js'
-import { AccountQuota, NoGrantReason, type QuotaDecision, QuotaEnd, type QuotaListener } from './accountQuota.js'
+import { QuotaBucketTable, type QuotaGrant } from '@umberspar/steering/common/quota/quotaBucketTable'
+import type { QuotaTolerance } from '@umberspar/steering/common/quota/bucketParameters'
+import { listAccountShares, type QuotaShare, splitByDistance } from '@umberspar/steering/common/quota/quotaShares'
+import type { QuotaToken } from '@umberspar/steering/common/quota/quotaTokenPool'
+import type { PathHandler, PlainResponse } from '../lookup/endpointServer.js'
+import { AccountQuota, NoGrantReason, type QuotaDecision, QuotaOutcome, type QuotaListener } from './accountQuota.js'
 import { QuotaClient } from './quotaClient.js'
 import { parseQuotaRequest, type QuotaRequest } from './quotaMessages.js'
-import { type ShareClaimerOptions, ShareClaimer } from './shareClaimer.js'
+import { type ShareClaimerDependencies, ShareClaimer } from './shareClaimer.js'
 
 /** Options of {@link AccountQuotas}. */
-export interface AccountQuotasOptions extends Omit<ShareClaimerOptions, 'buckets'> {
-  readonly distances: DomainDistances
+export interface AccountQuotasDependencies extends Omit<ShareClaimerDependencies, 'buckets'> {
+  readonly roundTrips: DomainRoundTrips
   readonly tolerance: QuotaTolerance
 }
 
 /** Changes after which this VM may have to claim a share. */
 const CLAIM_TRIGGERS: ReadonlySet<ViewChange> = new Set([ViewChange.DocumentAdopted, ViewChange.NodeJoined, ViewChange.NodeLeft, ViewChange.ShareClaimed, ViewChange.ShareFreed])
-const UNLIMITED: QuotaDecision = { end: QuotaEnd.Given, waitMs: 0 }
-const BAD_REQUEST: PlainAnswer = { status: 400, contentType: 'text/plain', body: 'the question cannot be read\n' }
-const NOT_OWNED: PlainAnswer = { status: 409, contentType: 'text/plain', body: 'this VM does not keep the share\n' }
+const UNLIMITED: QuotaDecision = { outcome: QuotaOutcome.Granted, waitMs: 0 }
+const BAD_REQUEST: PlainResponse = { status: 400, contentType: 'text/plain', body: 'the question cannot be read\n' }
+const NOT_OWNED: PlainResponse = { status: 409, contentType: 'text/plain', body: 'this VM does not keep the share\n' }
 
 /** The quotas of all accounts at one VM. */
 export class AccountQuotas implements IClosable {
   private readonly quotas = new Map<string, AccountQuota>()
   private readonly groups = new Map<string, QuotaShare[][]>()
-  private readonly buckets: QuotaBuckets
+  private readonly buckets: QuotaBucketTable
   private readonly claimer: ShareClaimer
   private readonly client: QuotaClient
 
-  constructor (private readonly options: AccountQuotasOptions) {
-    this.buckets = new QuotaBuckets(options.tolerance, options.regionOf)
-    this.claimer = new ShareClaimer({ ...options, buckets: this.buckets })
-    this.client = new QuotaClient(options.clock)
+  constructor (private readonly dependencies: AccountQuotasDependencies) {
+    this.buckets = new QuotaBucketTable(dependencies.tolerance, dependencies.regionByDomain)
+    this.claimer = new ShareClaimer({ ...dependencies, buckets: this.buckets })
+    this.client = new QuotaClient(dependencies.clock)
   }
 
   /** @returns the number of shares that this VM owns */
-  countKept (): number {
+  countOwned (): number {
     return this.claimer.countOwned()
   }
 
@@ -65,7 +65,7 @@
    * @param account the caller's account
    * @returns how much longer the quota is known to be exhausted, in milliseconds; 0 if it may have tokens left
    */
-  getSpentMs ({ name, quota }: AccountPolicy): number {
+  getExhaustedMs ({ name, quota }: AccountPolicy): number {
     return quota === undefined ? 0 : this.quotas.get(name)?.getExhaustedMs() ?? 0
   }
 
@@ -76,8 +76,8 @@
   }
 
   private handleDocument (): void {
-    const accounts = this.options.view.document?.accounts ?? []
-    this.buckets.setAccounts(accounts, this.options.elapsed.now())
+    const accounts = this.dependencies.view.document?.accounts ?? []
+    this.buckets.setAccounts(accounts, this.dependencies.elapsed.now())
     const names = new Set(accounts.map(({ name }) => name))
     for (const name of this.quotas.keys()) {
       if (!names.has(name)) this.quotas.delete(name)
@@ -85,7 +85,7 @@
   }
 
   /** @returns the handler for requests of other VMs to this one as a share owner */
-  createHandler (): PathHandler {
+  createPeerHandler (): PathHandler {
     return (query) => {
       const request = parseQuotaRequest(query)
       if (request === undefined) return BAD_REQUEST
@@ -100,17 +100,17 @@
   }
 
   private answer ({ share, account, wanted, unused }: QuotaRequest): QuotaGrant | undefined {
-    return this.claimer.isOwned(share) ? this.buckets.take(share, account, wanted, unused, this.options.elapsed.now()) : undefined
+    return this.claimer.isOwned(share) ? this.buckets.take(share, account, wanted, unused, this.dependencies.elapsed.now()) : undefined
   }
 
   private getQuota (account: string): AccountQuota {
     let quota = this.quotas.get(account)
     if (quota === undefined) {
-      const { elapsed } = this.options
+      const { elapsed } = this.dependencies
       quota = new AccountQuota(account, {
         now: () => elapsed.now(),
         listGroups: () => this.getGroups(account),
-        getTokenLifetimeMs: () => this.buckets.readPart(account)?.stockMs ?? 0,
+        getTokenLifetimeMs: () => this.buckets.getBucketParameters(account)?.maxTokenAgeMs ?? 0,
         ask: async (request) => await this.ask(request)
       })
       this.quotas.set(account, quota)
@@ -121,19 +121,19 @@
   private getGroups (account: string): QuotaShare[][] {
     let groups = this.groups.get(account)
     if (groups === undefined) {
-      const { self, regionOf } = this.options
-      groups = splitByNearness(listAccountShares(account, regionOf), self.domain, regionOf)
+      const { self, regionByDomain } = this.dependencies
+      groups = splitByDistance(listAccountShares(account, regionByDomain), self.domain, regionByDomain)
       this.groups.set(account, groups)
     }
     return groups
   }
 
   private async ask (request: QuotaRequest): Promise<QuotaGrant | NoGrantReason> {
-    const { view, distances } = this.options
+    const { view, roundTrips } = this.dependencies
     if (this.claimer.isOwned(request.share)) return this.answer(request) ?? NoGrantReason.NotOwned
-    const owner = view.shares.get(request.share)?.keeper
+    const owner = view.shares.get(request.share)?.owner
     if (owner === undefined) return NoGrantReason.NotOwned
     const domain = view.nodes.get(owner.node)?.domain
-    return await this.client.ask(owner.peerAddress, request, domain === undefined ? 0 : distances.getRoundTrip(domain))
+    return await this.client.ask(owner.peerAddress, request, domain === undefined ? 0 : roundTrips.getRoundTripMs(domain))
   }
 }
--- a/packages/entry/src/node/quota/quotaClient.ts
+++ b/packages/entry/src/node/quota/quotaClient.ts
@@ -2,7 +2,7 @@
 import { Agent, request as sendRequest } from 'node:http'
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
-import type { QuotaGrant } from '@umberspar/steering/common/quota/quotaBuckets'
+import type { QuotaGrant } from '@umberspar/steering/common/quota/quotaBucketTable'
 import { splitAddress } from '../address.js'
 import { NoGrantReason } from './accountQuota.js'
 import { formatQuotaRequest, parseGrant, type QuotaRequest } from './quotaMessages.js'
--- a/packages/entry/src/node/quota/quotaMessages.ts
+++ b/packages/entry/src/node/quota/quotaMessages.ts
@@ -1,5 +1,5 @@
 /** The messages by which entry VMs request tokens of an account's quota from each other. */
-import type { QuotaGrant } from '@umberspar/steering/common/quota/quotaBuckets'
+import type { QuotaGrant } from '@umberspar/steering/common/quota/quotaBucketTable'
 import * as z from 'zod/mini'
 
 /** The path of the requests, whose query is a {@link QuotaRequest}. */
--- a/packages/entry/src/node/quota/shareClaimer.ts
+++ b/packages/entry/src/node/quota/shareClaimer.ts
@@ -15,7 +15,7 @@
 import type { EntryView, ShareClaim } from '@umberspar/steering/common/entry/entryView'
 import type { EntryNode } from '@umberspar/steering/common/entry/records'
 import type { INodeRegistration } from '@umberspar/steering/common/ports/steeringSource'
-import type { QuotaBuckets } from '@umberspar/steering/common/quota/quotaBuckets'
+import type { QuotaBucketTable } from '@umberspar/steering/common/quota/quotaBucketTable'
 import { listShares, planClaims, type QuotaShare, type RegionByDomain } from '@umberspar/steering/common/quota/quotaShares'
 
 /** Combines changes of VMs and shares that arrive together. */
@@ -29,7 +29,7 @@
 const MAX_FREE_MS = 2_000
 
 /** Options of a {@link ShareClaimer}. */
-export interface ShareClaimerOptions {
+export interface ShareClaimerDependencies {
   readonly clock: IClock
   readonly elapsed: ElapsedClock
   readonly logger: ILogger
@@ -37,9 +37,9 @@
   readonly self: EntryNode
   /** Distinguishes this process from other ones of the same VM. */
   readonly life: string
-  readonly regionOf: RegionByDomain
+  readonly regionByDomain: RegionByDomain
   readonly registration: INodeRegistration
-  readonly buckets: QuotaBuckets
+  readonly buckets: QuotaBucketTable
   /** When this process started, on the {@link ElapsedClock}. */
   readonly startedAt: Instant
   isLeaving(): boolean
@@ -55,8 +55,8 @@
   private readonly claiming = new Set<string>()
   private timer: ITimer | undefined
 
-  constructor (private readonly options: ShareClaimerOptions) {
-    this.shares = listShares(options.regionOf)
+  constructor (private readonly dependencies: ShareClaimerDependencies) {
+    this.shares = listShares(dependencies.regionByDomain)
   }
 
   /** @returns the number of shares that this VM owns */
@@ -69,9 +69,9 @@
    * @returns whether this VM is certainly the only owner of the share at this moment
    */
   isOwned (share: string): boolean {
-    const { registration, elapsed, isLeaving } = this.options
-    const { tenure } = registration
-    return tenure !== undefined && !isLeaving() && this.leaseIds.get(share) === tenure.id && elapsed.now() < tenure.until
+    const { registration, elapsed, isLeaving } = this.dependencies
+    const { currentLease } = registration
+    return currentLease !== undefined && !isLeaving() && this.leaseIds.get(share) === currentLease.id && elapsed.now() < currentLease.until
   }
 
   /** Handles a change of VMs, shares or accounts. */
@@ -86,7 +86,7 @@
   }
 
   private scheduleUpdate (delayMs: number): void {
-    const { clock } = this.options
+    const { clock } = this.dependencies
     this.timer ??= clock.schedule(clock.now() + delayMs, () => {
       this.timer = undefined
       this.update()
@@ -94,37 +94,37 @@
   }
 
   private update (): void {
-    const { view, self, regionOf, buckets, registration, isLeaving } = this.options
+    const { view, self, regionByDomain, buckets, registration, isLeaving } = this.dependencies
     if (!buckets.hasQuotas || isLeaving()) return
-    if (registration.tenure === undefined) return this.scheduleUpdate(DEBOUNCE_MS)
+    if (registration.currentLease === undefined) return this.scheduleUpdate(DEBOUNCE_MS)
     const nodes = [...view.nodes.values()]
     for (const share of this.shares) {
-      const delayMs = planClaims(share, nodes, regionOf).get(self.name)
+      const delayMs = planClaims(share, nodes, regionByDomain).get(self.name)
       if (delayMs !== undefined) this.checkShare(share.name, delayMs)
     }
   }
 
   private checkShare (share: string, delayMs: number): void {
-    const claim = this.options.view.shares.get(share)
+    const claim = this.dependencies.view.shares.get(share)
     // This VM's own claim may not have arrived with the records yet.
     const isTaken = claim === undefined ? this.isOwned(share) : !this.isReplaceable(share, claim)
     if (isTaken) {
       this.freeSince.delete(share)
       return
     }
-    const now = this.options.elapsed.now()
+    const now = this.dependencies.elapsed.now()
     const freeSince = this.freeSince.get(share) ?? now
     this.freeSince.set(share, freeSince)
     const isDue = claim !== undefined || now >= freeSince + delayMs
-    if (isDue && !this.claiming.has(share)) runDetached(() => this.claim(share, claim?.revision ?? 0), this.options.logger, 'claim-share')
+    if (isDue && !this.claiming.has(share)) runDetached(() => this.claim(share, claim?.revision ?? 0), this.dependencies.logger, 'claim-share')
     this.scheduleUpdate(RECHECK_INTERVAL_MS)
   }
 
   /** @returns whether the claim belongs to a previous process of this VM, or to a previous lease of this one, so that no VM grants tokens under it any more */
-  private isReplaceable (share: string, { keeper: owner }: ShareClaim): boolean {
-    const { self, life, registration } = this.options
+  private isReplaceable (share: string, { owner }: ShareClaim): boolean {
+    const { self, life, registration } = this.dependencies
     if (owner.node !== self.name) return false
-    return owner.life !== life || this.leaseIds.get(share) !== registration.tenure?.id
+    return owner.life !== life || this.leaseIds.get(share) !== registration.currentLease?.id
   }
 
   /**
@@ -133,9 +133,9 @@
    * @returns an instant on the {@link ElapsedClock}
    */
   private computeUnusedSince (share: string): Instant {
-    const { view, self, startedAt, elapsed } = this.options
-    const owner = view.shares.get(share)?.keeper
-    const isPreviousProcess = owner !== undefined && owner.node === self.name && owner.life !== this.options.life
+    const { view, self, startedAt, elapsed } = this.dependencies
+    const owner = view.shares.get(share)?.owner
+    const isPreviousProcess = owner !== undefined && owner.node === self.name && owner.life !== this.dependencies.life
     if (isPreviousProcess) return startedAt
     const now = elapsed.now()
     const freeSince = owner === undefined ? this.freeSince.get(share) ?? now : now
@@ -143,8 +143,8 @@
   }
 
   private async claim (share: string, expectedRevision: number): Promise<void> {
-    const { registration, self, life, logger, buckets } = this.options
-    if (registration.tenure === undefined) return
+    const { registration, self, life, logger, buckets } = this.dependencies
+    if (registration.currentLease === undefined) return
     this.claiming.add(share)
     const unusedSince = this.computeUnusedSince(share)
     const claimed = await registration.claimShare({ share, node: self.name, life, peerAddress: self.peerAddress }, expectedRevision)
--- a/packages/entry/src/node/beliefs/proofKeeper.ts
+++ b/packages/entry/src/node/replica/freshnessTracker.ts
@@ -1,11 +1,11 @@
 /** Tracks how fresh this VM's records certainly are, from its own reads of the store's revision and from other VMs. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { ElapsedClock } from '@umberspar/base/common/elapsedClock'
-import { RecordProof, type RevisionReading } from '@umberspar/steering/common/entry/recordProof'
+import { FreshnessProof, type RevisionReading } from '@umberspar/steering/common/entry/freshnessProof'
 
 /** Tracks the freshness of one process's records. */
 export class FreshnessTracker {
-  private readonly freshness = new RecordProof()
+  private readonly freshness = new FreshnessProof()
 
   /**
    * @param elapsed the clock of all instants here, which counts suspensions
@@ -40,6 +40,6 @@
    * @param freshAsOf when that revision was certainly the newest
    */
   recordPeerFreshness (revision: number, freshAsOf: Instant): void {
-    if (revision <= this.readRevision()) this.freshness.recordTold(freshAsOf)
+    if (revision <= this.readRevision()) this.freshness.recordPeerProof(freshAsOf)
   }
 }
--- a/packages/entry/src/node/beliefs/recordFollower.ts
+++ b/packages/entry/src/node/replica/recordSynchronizer.ts
@@ -14,16 +14,16 @@
 import type { ElapsedClock } from '@umberspar/base/common/elapsedClock'
 import { LogLevel } from '@umberspar/base/common/logger'
 import { addJitter, type IRandomSource } from '@umberspar/base/common/random'
-import { type FollowPlan, planFollowing, type RegionByDomain } from '@umberspar/steering/common/entry/followPlan'
-import type { RevisionReading } from '@umberspar/steering/common/entry/recordProof'
+import { type ReplicationPlan, planReplication, type RegionByDomain } from '@umberspar/steering/common/entry/replicationPlan'
+import type { RevisionReading } from '@umberspar/steering/common/entry/freshnessProof'
 import type { EntryNode, RecordChanges, RecordSnapshot } from '@umberspar/steering/common/entry/records'
-import type { ISteeringSource, SteeringListener } from '@umberspar/steering/common/ports/steeringSource'
+import type { ISteeringSource, SteeringSourceListener } from '@umberspar/steering/common/ports/steeringSource'
 import type { RecordLine } from '../../common/recordLines.js'
-import { RecordSubscriber } from '../peers/recordHearer.js'
-import { RecordPublisher } from '../peers/recordTeller.js'
+import { RecordSubscriber } from '../peers/recordSubscriber.js'
+import { RecordPublisher } from '../peers/recordPublisher.js'
 import type { EntryTelemetry } from '../telemetry/entryTelemetry.js'
-import type { BeliefKeeper } from './beliefKeeper.js'
-import { FreshnessTracker } from './proofKeeper.js'
+import type { ViewUpdater } from './viewUpdater.js'
+import { FreshnessTracker } from './freshnessTracker.js'
 
 /** Combines changes of the VM list that arrive together into one new plan. */
 const PLAN_DEBOUNCE_MS = 200
@@ -44,7 +44,7 @@
 /** This VM and the other entry VMs of the deployment. */
 export interface FleetInfo {
   readonly self: EntryNode
-  readonly regionOf: RegionByDomain
+  readonly regionByDomain: RegionByDomain
   /** @returns the known entry VMs */
   listNodes(): Iterable<EntryNode>
   /** @returns `host:port` of the seed VMs, which are tried last */
@@ -53,26 +53,26 @@
   hasConfiguration(): boolean
 }
 
-/** Options of a {@link RecordFollower}. */
-export interface RecordSynchronizerOptions {
+/** Options of a {@link RecordSynchronizer}. */
+export interface RecordSynchronizerDependencies {
   readonly clock: IClock
   readonly elapsed: ElapsedClock
   readonly random: IRandomSource
   readonly telemetry: EntryTelemetry
   readonly source: ISteeringSource
-  readonly keeper: BeliefKeeper
-  readonly place: FleetInfo
+  readonly viewUpdater: ViewUpdater
+  readonly fleet: FleetInfo
   /** Called once, when records have been read for the first time. */
-  onRead(): void
+  onFirstRead(): void
 }
 
 /** Keeps the records of one process in sync with the store, directly or through other VMs. */
-export class RecordFollower implements SteeringListener, IClosable {
-  readonly teller: RecordPublisher
+export class RecordSynchronizer implements SteeringSourceListener, IClosable {
+  readonly publisher: RecordPublisher
   private readonly subscriber: RecordSubscriber
   /** How fresh the records certainly are. */
-  readonly proof: FreshnessTracker
-  private plan: FollowPlan = { isFollower: false, sources: [] }
+  readonly freshness: FreshnessTracker
+  private plan: ReplicationPlan = { isFollower: false, sources: [] }
   /** Whether this VM knows enough others to determine the region's followers. */
   private isFleetKnown = false
   private hasReread = false
@@ -88,12 +88,12 @@
   private rereadTimer: ITimer | undefined
   private fallbackTimer: ITimer | undefined
 
-  constructor (private readonly options: RecordSynchronizerOptions) {
-    const { clock, elapsed, random, telemetry, keeper: viewUpdater, place: fleet } = options
+  constructor (private readonly dependencies: RecordSynchronizerDependencies) {
+    const { clock, elapsed, random, telemetry, viewUpdater, fleet } = dependencies
     const freshness = new FreshnessTracker(elapsed, () => viewUpdater.revision)
-    this.proof = freshness
+    this.freshness = freshness
     const getPath = (): readonly string[] | undefined => this.via
-    this.teller = new RecordPublisher(clock, {
+    this.publisher = new RecordPublisher(clock, {
       get revision () { return viewUpdater.revision },
       get via () { return getPath() },
       get holdMs () { return viewUpdater.holdMs },
@@ -109,7 +109,7 @@
 
   /** @returns the VMs that the records pass through, from the one that watches the store to this one; undefined if the records are not current */
   get via (): readonly string[] | undefined {
-    const { name } = this.options.place.self
+    const { name } = this.dependencies.fleet.self
     if (this.isWatchCurrent) return [name]
     const { via } = this.subscriber
     return via === undefined ? undefined : [...via, name]
@@ -127,40 +127,40 @@
 
   /** Starts reading the store. */
   start (): void {
-    this.options.source.start(this)
+    this.dependencies.source.start(this)
   }
 
   /** Plans the sources again, after entry VMs have been added or removed. */
   handleNodesChanged (): void {
     if (!this.isFleetKnown) return
-    this.planTimer ??= this.options.clock.schedule(this.options.clock.now() + PLAN_DEBOUNCE_MS, () => {
+    this.planTimer ??= this.dependencies.clock.schedule(this.dependencies.clock.now() + PLAN_DEBOUNCE_MS, () => {
       this.planTimer = undefined
       this.updatePlan()
     })
   }
 
   getRevision (): number {
-    return this.options.keeper.revision
+    return this.dependencies.viewUpdater.revision
   }
 
   onSnapshot (snapshot: RecordSnapshot): void {
-    this.options.keeper.applySnapshot(snapshot)
+    this.dependencies.viewUpdater.applySnapshot(snapshot)
     this.handleStoreRead()
     this.checkFleetKnown()
   }
 
   onChanges (changes: RecordChanges): void {
-    this.options.keeper.applyChanges(changes)
+    this.dependencies.viewUpdater.applyChanges(changes)
     this.handleStoreRead()
   }
 
-  onReading (reading: RevisionReading): void {
-    this.proof.recordReading(reading)
-    this.teller.publish()
+  onRevisionRead (reading: RevisionReading): void {
+    this.freshness.recordReading(reading)
+    this.publisher.publish()
   }
 
-  onLost (reason: string, currentAsOf: Instant): void {
-    const { telemetry: { logger }, keeper: viewUpdater } = this.options
+  onStoreLost (reason: string, currentAsOf: Instant): void {
+    const { telemetry: { logger }, viewUpdater } = this.dependencies
     logger.log(LogLevel.Warn, { step: 'follow-store', peer: 'store', reason, revision: viewUpdater.revision }, 'the store does not answer this VM')
     this.isStoreReachable = false
     this.isWatchCurrent = false
@@ -168,8 +168,8 @@
     this.update()
   }
 
-  onRegained (): void {
-    const { telemetry: { logger }, keeper: viewUpdater } = this.options
+  onStoreRecovered (): void {
+    const { telemetry: { logger }, viewUpdater } = this.dependencies
     const { ageMs } = viewUpdater.getRecordsAge()
     logger.log(LogLevel.Info, { step: 'follow-store', peer: 'store', ageMs: Number.isFinite(ageMs) ? Math.round(ageMs) : undefined, revision: viewUpdater.revision }, 'the store answers this VM')
     this.isStoreReachable = true
@@ -180,11 +180,11 @@
   close (): void {
     for (const timer of [this.planTimer, this.rereadTimer, this.fallbackTimer]) timer?.close()
     this.subscriber.close()
-    this.teller.close()
+    this.publisher.close()
   }
 
   private handleStoreRead (): void {
-    const { clock, keeper: viewUpdater } = this.options
+    const { clock, viewUpdater } = this.dependencies
     this.isWatchCurrent = this.isWatching
     viewUpdater.setCurrent(this.via !== undefined, clock.now())
     this.logPath()
@@ -192,14 +192,14 @@
   }
 
   private handleLine ({ via, holdMs, news, revision }: RecordLine, freshAsOf: Instant): boolean {
-    const { clock, keeper: viewUpdater } = this.options
+    const { clock, viewUpdater } = this.dependencies
     // Set before the update is applied, so that records which the publisher has finally removed are not held back here.
     if (via !== undefined) viewUpdater.setCurrent(true, clock.now(), holdMs)
     if (news !== undefined && !viewUpdater.applyUpdate(news)) return false
     // The publisher's records are complete up to the revision of the line.
-    this.proof.recordPeerFreshness(revision, freshAsOf)
+    this.freshness.recordPeerFreshness(revision, freshAsOf)
     if (news === undefined) {
-      this.teller.publish()
+      this.publisher.publish()
       return true
     }
     // While the store is unreachable there is no second read, so the other VM's list of VMs is used.
@@ -212,17 +212,17 @@
   }
 
   private handleRead (): void {
-    this.proof.handleRevision()
-    this.teller.publish()
+    this.freshness.handleRevision()
+    this.publisher.publish()
     if (this.hasRead) return
     this.hasRead = true
-    this.options.onRead()
+    this.dependencies.onFirstRead()
   }
 
   /** Checks whether the other VMs are known, and schedules a second read of the store if not. */
   private checkFleetKnown (): void {
     if (this.isFleetKnown) return
-    const { clock, random, source, place: fleet } = this.options
+    const { clock, random, source, fleet } = this.dependencies
     const names = new Set([...fleet.listNodes()].map(({ name }) => name))
     // A read may be seconds old. After the second one this VM goes on without others, and watches the store until it learns of them.
     this.isFleetKnown = this.hasReread || names.has(fleet.self.name) || (fleet.hasConfiguration() && names.size > 0)
@@ -232,13 +232,13 @@
     }
     this.rereadTimer = clock.schedule(clock.now() + addJitter(random, REREAD_DELAY_MS, REREAD_JITTER_RATIO), () => {
       this.hasReread = true
-      source.readAgain()
+      source.readSnapshot()
     })
   }
 
   private updatePlan (): void {
-    const { place: fleet } = this.options
-    this.plan = planFollowing(fleet.listNodes(), fleet.self, fleet.regionOf)
+    const { fleet } = this.dependencies
+    this.plan = planReplication(fleet.listNodes(), fleet.self, fleet.regionByDomain)
     this.update()
   }
 
@@ -246,13 +246,13 @@
     this.updateSubscriber()
     this.updateFallback()
     this.updateWatch()
-    this.options.keeper.setCurrent(this.via !== undefined, Number.NEGATIVE_INFINITY)
+    this.dependencies.viewUpdater.setCurrent(this.via !== undefined, Number.NEGATIVE_INFINITY)
     this.logPath()
-    this.teller.publish()
+    this.publisher.publish()
   }
 
   private updateSubscriber (): void {
-    const { place: fleet } = this.options
+    const { fleet } = this.dependencies
     const needsPeers = this.isFleetKnown ? !this.plan.isFollower || this.isStoreReachable === false : this.isStoreReachable === false
     const planned = this.plan.sources.map(({ peerAddress }) => peerAddress)
     const seeds = fleet.listSeeds().filter((address) => address !== fleet.self.peerAddress)
@@ -261,7 +261,7 @@
 
   /** Starts watching the store when this VM has had no current source for a while. */
   private updateFallback (): void {
-    const { clock, random } = this.options
+    const { clock, random } = this.dependencies
     const lacksSource = this.isFleetKnown && !this.plan.isFollower && this.subscriber.via === undefined
     if (!lacksSource || this.isStoreReachable !== true) {
       this.fallbackTimer?.close()
@@ -282,12 +282,12 @@
     if (isWatching === this.isWatching) return
     this.isWatching = isWatching
     if (!isWatching) this.isWatchCurrent = false
-    this.options.source.setWatching(isWatching)
+    this.dependencies.source.setWatching(isWatching)
   }
 
   /** Logs each change of the path by which the records reach this VM. */
   private logPath (): void {
-    const { telemetry: { logger }, keeper: viewUpdater } = this.options
+    const { telemetry: { logger }, viewUpdater } = this.dependencies
     const via = this.via?.join(' > ')
     const path = `${String(this.isWatching)} ${via ?? ''}`
     if (!this.isFleetKnown || path === this.loggedPath) return
--- a/packages/entry/src/node/beliefs/beliefKeeper.ts
+++ b/packages/entry/src/node/replica/viewUpdater.ts
@@ -5,8 +5,8 @@
 import type { EntryView } from '@umberspar/steering/common/entry/entryView'
 import { ViewChange, type ViewEvent } from '@umberspar/steering/common/entry/viewEvent'
 import type { RecordChange, RecordChanges, RecordSnapshot } from '@umberspar/steering/common/entry/records'
-import type { RecordNews } from '@umberspar/steering/common/entry/recordNews'
-import { RecordTable } from '@umberspar/steering/common/entry/recordTable'
+import type { RecordUpdate } from '@umberspar/steering/common/entry/recordUpdate'
+import { RecordReplica } from '@umberspar/steering/common/entry/recordReplica'
 import type { EntryTelemetry } from '../telemetry/entryTelemetry.js'
 import type { RecordsAge } from './recordsAge.js'
 
@@ -17,8 +17,8 @@
 export type ViewChangeListener = (event: ViewEvent) => void
 
 /** Keeps the view of one process up to date. */
-export class BeliefKeeper implements IClosable {
-  private readonly table = new RecordTable()
+export class ViewUpdater implements IClosable {
+  private readonly table = new RecordReplica()
   private holdTimer: ITimer | undefined
   private isCurrent = false
   private currentAsOf: Instant = Number.NEGATIVE_INFINITY
@@ -43,7 +43,7 @@
 
   /** @returns for how much longer records that disappear are held back, in milliseconds */
   get holdMs (): number {
-    return this.table.getHoldMs(this.clock.now())
+    return this.table.getRemovalHoldMs(this.clock.now())
   }
 
   /** @returns the revision and age of the records */
@@ -52,8 +52,8 @@
   }
 
   /** @returns the update for a VM that has the given revision; undefined if there is nothing new */
-  readUpdateAfter (revision: number): RecordNews | undefined {
-    return this.table.readNewsAfter(revision)
+  readUpdateAfter (revision: number): RecordUpdate | undefined {
+    return this.table.buildUpdateAfter(revision)
   }
 
   /**
@@ -65,14 +65,14 @@
   setCurrent (isCurrent: boolean, currentAsOf: Instant, holdMs?: number): void {
     const now = this.clock.now()
     this.currentAsOf = Math.max(this.currentAsOf, currentAsOf)
-    if (isCurrent && holdMs !== undefined) this.table.updateHold(now, holdMs)
+    if (isCurrent && holdMs !== undefined) this.table.updateRemovalHold(now, holdMs)
     if (isCurrent === this.isCurrent) return
     if (!isCurrent) {
       this.markStale(currentAsOf)
       return
     }
     this.isCurrent = true
-    this.table.recordStoreRegained(now, holdMs)
+    this.table.recordStoreRecovered(now, holdMs)
     this.scheduleRelease()
   }
 
@@ -102,8 +102,8 @@
    * Applies an update from another VM.
    * @returns false if the update does not apply to the present records, so that a full snapshot is needed
    */
-  applyUpdate (news: RecordNews): boolean {
-    const changes = this.table.applyNews(news, this.clock.now())
+  applyUpdate (news: RecordUpdate): boolean {
+    const changes = this.table.applyUpdate(news, this.clock.now())
     if (changes !== undefined) this.apply(changes)
     return changes !== undefined
   }
@@ -116,7 +116,7 @@
   private apply (changes: readonly RecordChange[]): void {
     const now = this.clock.now()
     for (const change of changes) {
-      for (const event of this.view.apply(change, now)) this.logEvent(event)
+      for (const event of this.view.applyChange(change, now)) this.logEvent(event)
     }
     this.scheduleRelease()
   }
@@ -129,10 +129,10 @@
   }
 
   private scheduleRelease (): void {
-    if (this.holdTimer !== undefined || !this.table.hasHeld) return
+    if (this.holdTimer !== undefined || !this.table.hasHeldRemovals) return
     this.holdTimer = this.clock.schedule(this.clock.now() + HOLD_CHECK_INTERVAL_MS, () => {
       this.holdTimer = undefined
-      this.apply(this.table.releaseHeld(this.clock.now()))
+      this.apply(this.table.applyDueRemovals(this.clock.now()))
     })
   }
 }
--- a/packages/entry/src/node/settingsFile.ts
+++ b/packages/entry/src/node/settingsFile.ts
@@ -18,7 +18,7 @@
 }
 
 /** The settings, or the error that occurred when they were read. */
-export type ReadSettings = Result<EntrySettings, StepError>
+export type SettingsResult = Result<EntrySettings, StepError>
 
 /** Reads and watches a settings file. */
 export class SettingsFile implements IClosable {
@@ -33,7 +33,7 @@
   constructor (private readonly path: string, private readonly clock: IClock) {}
 
   /** @returns the settings, or an error that names the file and the field */
-  load (): ReadSettings {
+  load (): SettingsResult {
     try {
       // Before the content is read, so that a change in between is detected by the next check.
       this.lastReadState = toFileState(statSync(this.path))
@@ -47,7 +47,7 @@
    * Starts to watch the file.
    * @param onChange called with the new settings whenever the file has changed since it was last read
    */
-  watch (onChange: (settings: ReadSettings) => void): void {
+  watch (onChange: (settings: SettingsResult) => void): void {
     if (this.isClosed) return
     stat(this.path, (error, stats) => {
       if (this.isClosed) return
--- a/packages/entry/src/node/telemetry/entryGauges.ts
+++ b/packages/entry/src/node/telemetry/entryGauges.ts
@@ -1,9 +1,9 @@
 /** The values of an entry process's gauges, read when the metrics are fetched. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { EntryView } from '@umberspar/steering/common/entry/entryView'
-import type { BeliefKeeper } from '../beliefs/beliefKeeper.js'
-import type { RecordFollower } from '../beliefs/recordFollower.js'
-import type { CallerServer } from '../front/frontServer.js'
+import type { ViewUpdater } from '../replica/viewUpdater.js'
+import type { RecordSynchronizer } from '../replica/recordSynchronizer.js'
+import type { CallerServer } from '../front/callerServer.js'
 import type { RequestQuarantine } from '../quarantine/requestQuarantine.js'
 import type { AccountQuotas } from '../quota/accountQuotas.js'
 import type { GaugeSource } from './entryMetrics.js'
@@ -16,8 +16,8 @@
 export interface GaugeDependencies {
   readonly clock: IClock
   readonly view: EntryView
-  readonly keeper: BeliefKeeper
-  readonly follower: RecordFollower
+  readonly viewUpdater: ViewUpdater
+  readonly synchronizer: RecordSynchronizer
   readonly quotas: AccountQuotas
   readonly quarantine: RequestQuarantine
   readonly callerServer: CallerServer
@@ -35,31 +35,31 @@
 
   readRetryBudgets (): Array<readonly [string, number]> {
     const now = this.dependencies.clock.now()
-    return [...this.dependencies.view.listRepeats()].map(([service, retryWindow]) => [service, retryWindow.countLeft(now)] as const)
+    return [...this.dependencies.view.listRetryBudgets()].map(([service, retryWindow]) => [service, retryWindow.countLeft(now)] as const)
   }
 
   readGauges (): Readonly<Record<string, number>> {
-    const { view, keeper, follower, quotas, quarantine, callerServer, isReady } = this.dependencies
+    const { view, viewUpdater, synchronizer, quotas, quarantine, callerServer, isReady } = this.dependencies
     const { quarantined, suspects } = quarantine.readCounts()
-    const { ageMs, revision } = keeper.getRecordsAge()
+    const { ageMs, revision } = viewUpdater.getRecordsAge()
     return {
       requests_open: callerServer.inFlightRequests,
       records_age_seconds: toSeconds(ageMs),
-      records_proof_age_seconds: toSeconds(follower.proof.getAgeMs()),
+      records_proof_age_seconds: toSeconds(synchronizer.freshness.getAgeMs()),
       records_revision: revision,
       configuration_version: view.document?.version ?? 0,
       entry_vms_known: view.countNodes(),
       workers_known: [...view.listTrackers()].length,
       workers_rate_limited: [...view.listTrackers()].filter(({ rateLimit }) => rateLimit !== undefined).length,
-      domains_evacuated: view.evacuated.size,
-      quota_shares_kept: quotas.countKept(),
+      domains_evacuated: view.evacuatedDomains.size,
+      quota_shares_kept: quotas.countOwned(),
       requests_quarantined: quarantined,
       requests_suspected: suspects,
-      follows_store: Number(follower.isFollowing),
-      record_sources: follower.countSources(),
-      record_listeners: follower.teller.countListeners(),
-      record_waiting_bytes: follower.teller.countWaitingBytes(),
-      record_hops: (follower.via?.length ?? 0) - 1,
+      follows_store: Number(synchronizer.isFollowing),
+      record_sources: synchronizer.countSources(),
+      record_listeners: synchronizer.publisher.countSubscribers(),
+      record_waiting_bytes: synchronizer.publisher.countWaitingBytes(),
+      record_hops: (synchronizer.via?.length ?? 0) - 1,
       ready: Number(isReady())
     }
   }
--- a/packages/entry/src/node/telemetry/entryLogger.ts
+++ b/packages/entry/src/node/telemetry/entryLogger.ts
@@ -2,7 +2,7 @@
 import { createRoarrLogger } from '@umberspar/base/node/roarrLogger'
 import type { IClock } from '@umberspar/base/common/clock'
 import { type ILogger, type LogContext, LogLevel } from '@umberspar/base/common/logger'
-import { BoundedLogWriter, LinePriority, writeStdout } from './boundedWriter.js'
+import { BoundedLogWriter, LinePriority, writeStdout } from './boundedLogWriter.js'
 import type { EntryMetrics } from './entryMetrics.js'
 
 /** The logger with the functions that configure and flush it. */
--- a/packages/entry/src/node/telemetry/entryTelemetry.ts
+++ b/packages/entry/src/node/telemetry/entryTelemetry.ts
@@ -1,9 +1,9 @@
 /** Writes the log lines and metrics of an entry process. */
 import { type ILogger, LogLevel } from '@umberspar/base/common/logger'
-import type { HandState } from '@umberspar/steering/common/entry/handChance'
+import type { CacheState } from '@umberspar/steering/common/entry/cacheHitEstimator'
 import { RouteKind, type SteeringDocument } from '@umberspar/steering/common/entry/steeringDocument'
 import type { EntryMetrics } from './entryMetrics.js'
-import { EndReason, AttemptOutcome, RequestOutcome } from './requestEvents.js'
+import { EndReason, AttemptOutcome, RequestOutcome } from './requestOutcomes.js'
 
 /** The log fields of an attempt and of the decision that led to it. */
 export interface AttemptLogFields {
@@ -17,7 +17,7 @@
   /** The affinity key of the request; undefined if it has none. */
   readonly object: string | undefined
   /** What was known about whether the worker has the object of the affinity key cached. */
-  readonly hand: HandState
+  readonly hand: CacheState
   /** The estimated probability of a cache hit at the worker. */
   readonly handChance: number
   /** The number of this attempt for the request, from 1. */
@@ -147,12 +147,12 @@
   }
 
   /** Counts bytes of records sent to another entry VM. */
-  countTold (bytes: number): void {
+  countSentRecordBytes (bytes: number): void {
     this.metrics.countSentRecordBytes(bytes)
   }
 
   /** Logs a large record update. */
-  logLongLine (fields: LargeUpdateLogFields): void {
+  logLargeRecordUpdate (fields: LargeUpdateLogFields): void {
     this.logger.log(LogLevel.Info, { step: 'tell-records', ...fields }, 'large record update sent to other VMs')
   }
 
--- a/packages/entry/src/node/upstream/idleLimit.ts
+++ b/packages/entry/src/node/upstream/idleLimit.ts
@@ -31,7 +31,7 @@
    * @param idleMs how long it had been idle, in milliseconds
    * @param now the present
    */
-  recordBreak (idleMs: number, now: Instant): void {
+  recordReset (idleMs: number, now: Instant): void {
     const shortened = Math.max(MIN_LIMIT_MS, idleMs * SHORTENING_RATIO)
     if (shortened >= this.getMs(now)) return
     this.limitMs = shortened
--- a/packages/entry/src/node/upstream/answerParser.ts
+++ b/packages/entry/src/node/upstream/responseParser.ts
@@ -7,7 +7,7 @@
 import { HTTPParser } from 'http-parser-js'
 
 /** The head of a response. */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number
   /** Alternating names and values, as received. */
   readonly rawHeaders: readonly string[]
@@ -20,7 +20,7 @@
 /** Receives the parsed responses. */
 export interface ResponseListener {
   /** @returns whether the response has no body regardless of its head, like a response to HEAD */
-  onHead(head: AnswerHead): boolean
+  onHead(head: ResponseHead): boolean
   onBody(chunk: Buffer): void
   onEnd(): void
 }
@@ -79,11 +79,11 @@
 }
 
 /** Parses the consecutive responses of one connection. */
-export class AnswerParser {
+export class ResponseParser {
   private readonly parser = createStrictParser()
   private isInterim = false
 
-  /** @param listener receives the responses; an error that it throws is returned by {@link AnswerParser.read} */
+  /** @param listener receives the responses; an error that it throws is returned by {@link ResponseParser.read} */
   constructor (private readonly listener: ResponseListener) {
     this.parser[HTTPParser.kOnHeadersComplete] = (info) => this.handleHead(info)
     this.parser[HTTPParser.kOnBody] = (chunk) => { this.listener.onBody(chunk) }
--- a/packages/entry/src/node/upstream/upstreamConnection.ts
+++ b/packages/entry/src/node/upstream/upstreamConnection.ts
@@ -5,7 +5,7 @@
  */
 import type { Socket } from 'node:net'
 import type { Instant } from '@umberspar/base/common/clock'
-import { AnswerParser, type AnswerHead } from './answerParser.js'
+import { ResponseParser, type ResponseHead } from './responseParser.js'
 import { getHeader } from './rawHeaders.js'
 
 /** Why an exchange failed. */
@@ -13,14 +13,14 @@
   /** The worker closed or reset the connection before the response was complete. */
   Broken = 'broken',
   /** The received bytes are not a valid response, or not a response to this request. */
-  Garbled = 'garbled',
+  InvalidResponse = 'garbled',
   /** This VM cancelled the request. */
   Cancelled = 'cancelled'
 }
 
 /** Receives the response to a request. */
 export interface ExchangeListener {
-  onHead(head: AnswerHead): void
+  onHead(head: ResponseHead): void
   onBody(chunk: Buffer): void
   onEnd(): void
   onFailure(failure: ExchangeFailure): void
@@ -58,7 +58,7 @@
 
 /** An open connection to a worker. */
 export class UpstreamConnection {
-  private readonly parser: AnswerParser
+  private readonly parser: ResponseParser
   private exchange: Exchange | undefined
   private isSkipping = false
   private skippedResponses = 0
@@ -79,7 +79,7 @@
     private readonly onIdle: (connection: UpstreamConnection) => void,
     private readonly onClosed: (connection: UpstreamConnection) => void
   ) {
-    this.parser = new AnswerParser({
+    this.parser = new ResponseParser({
       onHead: (head) => this.handleHead(head),
       onBody: (chunk) => { if (!this.isSkipping) this.exchange?.listener.onBody(chunk) },
       onEnd: () => { this.handleEnd() }
@@ -144,7 +144,7 @@
     }
     const error = this.parser.read(chunk)
     if (error !== undefined) {
-      this.fail(ExchangeFailure.Garbled)
+      this.fail(ExchangeFailure.InvalidResponse)
       return
     }
     if (this.exchange !== undefined || this.socket.destroyed) return
@@ -152,7 +152,7 @@
     else this.onIdle(this)
   }
 
-  private handleHead (head: AnswerHead): boolean {
+  private handleHead (head: ResponseHead): boolean {
     const exchange = this.exchange
     if (exchange === undefined) throw new Error('response without a pending request')
     const id = getHeader(head.rawHeaders, this.rule.idHeader)
@@ -165,7 +165,7 @@
     return exchange.request.isHead
   }
 
-  private updateReuse (head: AnswerHead): void {
+  private updateReuse (head: ResponseHead): void {
     if (!head.keepsAlive || head.isCloseDelimited) this.isReusable = false
     const timeout = TIMEOUT_PARAMETER.exec(getHeader(head.rawHeaders, 'keep-alive') ?? '')
     if (timeout !== null) this.idleLimitMs = Math.max(0, Number(timeout[1]) * MS_PER_SECOND - IDLE_MARGIN_MS)
--- a/packages/entry/src/node/upstream/upstreamPools.ts
+++ b/packages/entry/src/node/upstream/upstreamPools.ts
@@ -1,7 +1,7 @@
 /** The connection pools of all workers. */
 import type { IClock } from '@umberspar/base/common/clock'
 import type { IClosable } from '@umberspar/base/common/closing'
-import type { UpstreamEntry } from '@umberspar/steering/common/entry/records'
+import type { UpstreamRegistration } from '@umberspar/steering/common/entry/records'
 import { splitAddress } from '../address.js'
 import { IdleLimit } from './idleLimit.js'
 import type { EchoRule } from './upstreamConnection.js'
@@ -23,7 +23,7 @@
    * @param entry a worker
    * @returns the connection pool of the worker
    */
-  read (entry: UpstreamEntry): UpstreamPool {
+  getPool (entry: UpstreamRegistration): UpstreamPool {
     let pool = this.pools.get(entry.id)
     const { host, port } = splitAddress(entry.address)
     if (pool === undefined || !pool.isFor(host, port)) {
--- a/packages/entry/test/node/peers/packedLine.test.ts
+++ b/packages/entry/test/node/peers/compressedLine.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import fc from 'fast-check'
 import { describe, it } from 'node:test'
-import { decodeLine, encodeLine } from '../../../src/node/peers/packedLine.js'
+import { decodeLine, encodeLine } from '../../../src/node/peers/compressedLine.js'
 
 const SEED = 20261205
 
--- a/packages/entry/test/node/peers/linkWorld.ts
+++ b/packages/entry/test/node/peers/linkSimulation.ts
@@ -6,13 +6,13 @@
 import { EventEmitter } from 'node:events'
 import type { ServerResponse } from 'node:http'
 import { ManualClock } from '@umberspar/base/common/manualClock'
-import { planFollowing } from '@umberspar/steering/common/entry/followPlan'
+import { planReplication } from '@umberspar/steering/common/entry/replicationPlan'
 import { type EntryNode, RecordKind, type SteeringRecord } from '@umberspar/steering/common/entry/records'
-import { RecordTable } from '@umberspar/steering/common/entry/recordTable'
+import { RecordReplica } from '@umberspar/steering/common/entry/recordReplica'
 import type { SteeringDocument } from '@umberspar/steering/common/entry/steeringDocument'
 import { parseRecordLine } from '../../../src/common/recordLines.js'
-import { decodeLine } from '../../../src/node/peers/packedLine.js'
-import { RecordPublisher } from '../../../src/node/peers/recordTeller.js'
+import { decodeLine } from '../../../src/node/peers/compressedLine.js'
+import { RecordPublisher } from '../../../src/node/peers/recordPublisher.js'
 
 /** What a link sends of one connection before it continues with the next one. */
 const CHUNK_BYTES = 4_096
@@ -89,7 +89,7 @@
 
 /** One entry VM. */
 class LinkVm {
-  readonly table = new RecordTable()
+  readonly table = new RecordReplica()
   readonly publisher: RecordPublisher
   readonly up: Link
   readonly down: Link
@@ -106,8 +106,8 @@
       via: [node.name],
       holdMs: 0,
       proofAgeMs: undefined,
-      readUpdateAfter: (revision) => table.readNewsAfter(revision)
-    }, { countTold: (bytes) => { this.sentBytes += bytes }, logLongLine: () => {} })
+      readUpdateAfter: (revision) => table.buildUpdateAfter(revision)
+    }, { countSentRecordBytes: (bytes) => { this.sentBytes += bytes }, logLargeRecordUpdate: () => {} })
   }
 
   /** @returns the configuration that the VM uses */
@@ -130,7 +130,7 @@
   handleLine (text: string): void {
     const { news } = parseRecordLine(decodeLine(text, this.node.name).unwrap(), this.node.name).unwrap()
     if (news === undefined) return
-    if (this.table.applyNews(news, this.clock.now()) === undefined) throw new Error(`${this.node.name} cannot apply the update`)
+    if (this.table.applyUpdate(news, this.clock.now()) === undefined) throw new Error(`${this.node.name} cannot apply the update`)
     this.publisher.publish()
   }
 
@@ -170,7 +170,7 @@
     this.vms = nodes.map((node) => new LinkVm(node, this.clock, node.linkMbps!))
     for (const { table } of this.vms) table.applySnapshot({ revision: this.revision, records }, 0)
     for (const vm of this.vms) {
-      const { isFollower, sources } = planFollowing(nodes, vm.node, REGION_OF)
+      const { isFollower, sources } = planReplication(nodes, vm.node, REGION_OF)
       if (isFollower) continue
       for (const source of sources.slice(0, SOURCES_PER_VM)) this.findVm(source.name).addSubscriber(vm)
     }
@@ -181,7 +181,7 @@
     const record = createRecord(++this.revision)
     const nodes = this.vms.map(({ node }) => node)
     for (const vm of this.vms) {
-      if (!planFollowing(nodes, vm.node, REGION_OF).isFollower) continue
+      if (!planReplication(nodes, vm.node, REGION_OF).isFollower) continue
       vm.table.applyChanges({ revision: this.revision, written: [record], removed: [] }, this.clock.now())
       vm.publisher.publish()
     }
--- a/packages/entry/test/node/peers/recordTeller.test.ts
+++ b/packages/entry/test/node/peers/recordPublisher.test.ts
@@ -4,7 +4,7 @@
 import { describe, it } from 'node:test'
 import { ManualClock } from '@umberspar/base/common/manualClock'
 import { parseRecordLine, type RecordLine } from '../../../src/common/recordLines.js'
-import { HEARTBEAT_INTERVAL_MS, RecordPublisher } from '../../../src/node/peers/recordTeller.js'
+import { HEARTBEAT_INTERVAL_MS, RecordPublisher } from '../../../src/node/peers/recordPublisher.js'
 
 /** A response that records the lines that are written. */
 class RecordingResponse extends EventEmitter {
@@ -36,7 +36,7 @@
     get holdMs () { return state.holdMs },
     get proofAgeMs () { return state.proofAgeMs },
     readUpdateAfter: (revision) => revision >= state.revision ? undefined : { revision: state.revision, isWhole: false, gaps: [], written: [], removed: [] }
-  }, { countTold: () => {}, logLongLine: () => {} })
+  }, { countSentRecordBytes: () => {}, logLargeRecordUpdate: () => {} })
   const response = new RecordingResponse()
   publisher.accept(new URLSearchParams('after=5'), response as unknown as ServerResponse)
   return { clock, state, publisher, response }
@@ -92,7 +92,7 @@
     assert.equal(response.isDestroyed, false)
     await clock.runFor(2 * HEARTBEAT_INTERVAL_MS)
     assert.equal(response.isDestroyed, true)
-    assert.equal(publisher.countListeners(), 0)
+    assert.equal(publisher.countSubscribers(), 0)
     publisher.close()
   })
 })
--- a/packages/entry/test/node/peers/recordHearer.test.ts
+++ b/packages/entry/test/node/peers/recordSubscriber.test.ts
@@ -8,7 +8,7 @@
 import { SeededRandom } from '@umberspar/base/common/random'
 import { SystemClock } from '@umberspar/base/node/systemClock'
 import { formatRecordLine, type RecordLine } from '../../../src/common/recordLines.js'
-import { RecordSubscriber } from '../../../src/node/peers/recordHearer.js'
+import { RecordSubscriber } from '../../../src/node/peers/recordSubscriber.js'
 
 /** An entry VM that sends the lines that a test chooses. */
 class FakePublisher {
--- a/packages/entry/test/node/peers/slowLinks.test.ts
+++ b/packages/entry/test/node/peers/slowLinks.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import { RecordKind, type SteeringRecord, UpstreamState } from '@umberspar/steering/common/entry/records'
 import { RouteKind, type RoutePolicy, type SteeringDocument } from '@umberspar/steering/common/entry/steeringDocument'
-import { LinkSimulation } from './linkWorld.js'
+import { LinkSimulation } from './linkSimulation.js'
 
 /** Within this time a change must be in force on all VMs. */
 const CHANGE_LIMIT_MS = 3_000
--- a/packages/entry/test/node/quota/quotaWorld.test.ts
+++ b/packages/entry/test/node/quota/quotaSimulation.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { QuotaSimulation } from './quotaWorld.js'
-import type { SimulationFlaws } from './worldVm.js'
+import { QuotaSimulation } from './quotaSimulation.js'
+import type { SimulationFlaws } from './simulatedVm.js'
 
 const SEEDS = Array.from({ length: 12 }, (_, index) => 1_000 + index)
 const SMALL = { ratePerSecond: 8, burst: 8 }
--- a/packages/entry/test/node/quota/quotaWorld.ts
+++ b/packages/entry/test/node/quota/quotaSimulation.ts
@@ -6,8 +6,8 @@
 import { ManualClock } from '@umberspar/base/common/manualClock'
 import { SeededRandom } from '@umberspar/base/common/random'
 import type { AccountPolicy, AccountQuota as Quota } from '@umberspar/steering/common/entry/steeringDocument'
-import { SimulatedStore } from './worldStore.js'
-import { ACCOUNT, type ISimulation, type SimulationFlaws, REGIONS, type Run, TOLERANCE, SimulatedVm } from './worldVm.js'
+import { SimulatedStore } from './simulatedStore.js'
+import { ACCOUNT, type ISimulation, type SimulationFlaws, REGIONS, type Run, TOLERANCE, SimulatedVm } from './simulatedVm.js'
 
 /** A simulation with one seed. */
 export class QuotaSimulation implements ISimulation {
--- a/packages/entry/test/node/quota/shareClaimer.test.ts
+++ b/packages/entry/test/node/quota/shareClaimer.test.ts
@@ -5,11 +5,11 @@
 import type { ILogger } from '@umberspar/base/common/logger'
 import { ManualClock } from '@umberspar/base/common/manualClock'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
-import { DomainDistances } from '@umberspar/steering/common/entry/domainDistances'
+import { DomainRoundTrips } from '@umberspar/steering/common/entry/domainRoundTrips'
 import { EntryView } from '@umberspar/steering/common/entry/entryView'
-import type { EntryNode, ShareKeeper } from '@umberspar/steering/common/entry/records'
+import type { EntryNode, ShareOwner } from '@umberspar/steering/common/entry/records'
 import type { INodeRegistration } from '@umberspar/steering/common/ports/steeringSource'
-import { QuotaBuckets } from '@umberspar/steering/common/quota/quotaBuckets'
+import { QuotaBucketTable } from '@umberspar/steering/common/quota/quotaBucketTable'
 import { listShares, planClaims } from '@umberspar/steering/common/quota/quotaShares'
 import { ShareClaimer } from '../../../src/node/quota/shareClaimer.js'
 
@@ -19,7 +19,7 @@
 const [SHARE] = listShares(REGIONS)
 
 interface Claim {
-  readonly owner: ShareKeeper
+  readonly owner: ShareOwner
   readonly expectedRevision: number
 }
 
@@ -33,18 +33,18 @@
     register: () => {},
     withdraw: () => {},
     close: () => {},
-    tenure: { id: 7, until: 60_000 },
+    currentLease: { id: 7, until: 60_000 },
     claimShare: async (owner, expectedRevision) => {
       claims.push({ owner, expectedRevision })
       return answer()
     }
   }
-  const view = new EntryView({ node: name, domain: 'n-1', regionOf: REGIONS, distances: new DomainDistances('n-1', REGIONS), coldTolerance: { factor: 1, slack: 1 }, rateTolerance: { factor: 1.5, slack: 5 }, budget: { ratio: 1, windowMs: 1, slack: 1 } })
+  const view = new EntryView({ node: name, domain: 'n-1', regionByDomain: REGIONS, roundTrips: new DomainRoundTrips('n-1', REGIONS), coldTolerance: { factor: 1, slack: 1 }, rateTolerance: { factor: 1.5, slack: 5 }, retryBudget: { ratio: 1, windowMs: 1, slack: 1 } })
   for (const node of NODES) view.putNode(node)
-  const buckets = new QuotaBuckets({ windowMs: 5_000, over: 0.1, slack: 20 }, REGIONS)
+  const buckets = new QuotaBucketTable({ windowMs: 5_000, over: 0.1, slack: 20 }, REGIONS)
   buckets.setAccounts([{ name: 'a', keyDigests: [], priority: undefined, quota: { ratePerSecond: 10, burst: 10 }, homeRegions: [] }], 0)
   const self = NODES.find((node) => node.name === name)!
-  const claimer = new ShareClaimer({ clock, elapsed, logger: LOGGER, view, self, life: 'present', regionOf: REGIONS, registration, buckets, startedAt: elapsed.now(), isLeaving: () => false })
+  const claimer = new ShareClaimer({ clock, elapsed, logger: LOGGER, view, self, life: 'present', regionByDomain: REGIONS, registration, buckets, startedAt: elapsed.now(), isLeaving: () => false })
   return { clock, claims, view, claimer, listClaims: (share: string) => claims.filter(({ owner }) => owner.share === share) }
 }
 
@@ -80,12 +80,12 @@
 
   it('of a previous process of the same VM are replaced by their revision, and those of other VMs are not', async () => {
     const { clock, claimer, view, listClaims } = createClaimer(first!, () => Ok(7))
-    view.shares.set(SHARE!.name, { keeper: { share: SHARE!.name, node: first!, life: 'former', peerAddress: '' }, revision: 41 })
+    view.shares.set(SHARE!.name, { owner: { share: SHARE!.name, node: first!, life: 'former', peerAddress: '' }, revision: 41 })
     claimer.handleChange()
     await clock.runFor(100)
     assert.equal(listClaims(SHARE!.name)[0]?.expectedRevision, 41)
     const other = createClaimer(first!, () => Ok(7))
-    other.view.shares.set(SHARE!.name, { keeper: { share: SHARE!.name, node: second!, life: 'x', peerAddress: '' }, revision: 41 })
+    other.view.shares.set(SHARE!.name, { owner: { share: SHARE!.name, node: second!, life: 'x', peerAddress: '' }, revision: 41 })
     other.claimer.handleChange()
     await other.clock.runFor(10_000)
     assert.equal(other.listClaims(SHARE!.name).length, 0)
--- a/packages/entry/test/node/quota/worldVm.ts
+++ b/packages/entry/test/node/quota/simulatedVm.ts
@@ -6,18 +6,18 @@
 import type { ManualClock } from '@umberspar/base/common/manualClock'
 import type { SeededRandom } from '@umberspar/base/common/random'
 import { Err, Ok, type Result } from '@umberspar/base/common/result'
-import { DomainDistances } from '@umberspar/steering/common/entry/domainDistances'
+import { DomainRoundTrips } from '@umberspar/steering/common/entry/domainRoundTrips'
 import { EntryView } from '@umberspar/steering/common/entry/entryView'
-import { type EntryNode, RecordKind, type ShareKeeper, type SteeringRecord } from '@umberspar/steering/common/entry/records'
+import { type EntryNode, RecordKind, type ShareOwner, type SteeringRecord } from '@umberspar/steering/common/entry/records'
 import type { AccountPolicy } from '@umberspar/steering/common/entry/steeringDocument'
-import type { INodeRegistration, Tenure } from '@umberspar/steering/common/ports/steeringSource'
-import type { QuotaTolerance } from '@umberspar/steering/common/quota/quotaBudget'
-import { QuotaBuckets, type QuotaGrant } from '@umberspar/steering/common/quota/quotaBuckets'
-import { listAccountShares, splitByNearness } from '@umberspar/steering/common/quota/quotaShares'
-import { AccountQuota, NoGrantReason, QuotaEnd } from '../../../src/node/quota/accountQuota.js'
+import type { INodeRegistration, RegistrationLease } from '@umberspar/steering/common/ports/steeringSource'
+import type { QuotaTolerance } from '@umberspar/steering/common/quota/bucketParameters'
+import { QuotaBucketTable, type QuotaGrant } from '@umberspar/steering/common/quota/quotaBucketTable'
+import { listAccountShares, splitByDistance } from '@umberspar/steering/common/quota/quotaShares'
+import { AccountQuota, NoGrantReason, QuotaOutcome } from '../../../src/node/quota/accountQuota.js'
 import type { QuotaRequest } from '../../../src/node/quota/quotaMessages.js'
 import { ShareClaimer } from '../../../src/node/quota/shareClaimer.js'
-import { LEASE_MS, type SimulatedStore } from './worldStore.js'
+import { LEASE_MS, type SimulatedStore } from './simulatedStore.js'
 
 /** Deliberate flaws, which show that the tests detect what they guard against. */
 export interface SimulationFlaws {
@@ -65,7 +65,7 @@
   isCutFromStore = false
   readonly cutFrom = new Set<string>()
   private view!: EntryView
-  private buckets!: QuotaBuckets
+  private buckets!: QuotaBucketTable
   private claimer!: ShareClaimer
   private quota!: AccountQuota
   private elapsed!: ElapsedClock
@@ -98,14 +98,14 @@
     this.isDead = false
     this.lease = undefined
     this.elapsed = new ElapsedClock(this)
-    this.view = new EntryView({ node: this.node.name, domain: this.node.domain, regionOf: REGIONS, distances: new DomainDistances(this.node.domain, REGIONS), coldTolerance: { factor: 1, slack: 1 }, rateTolerance: { factor: 1.5, slack: 5 }, budget: { ratio: 1, windowMs: 1, slack: 1 } })
-    this.buckets = new QuotaBuckets(TOLERANCE, REGIONS)
+    this.view = new EntryView({ node: this.node.name, domain: this.node.domain, regionByDomain: REGIONS, roundTrips: new DomainRoundTrips(this.node.domain, REGIONS), coldTolerance: { factor: 1, slack: 1 }, rateTolerance: { factor: 1.5, slack: 5 }, retryBudget: { ratio: 1, windowMs: 1, slack: 1 } })
+    this.buckets = new QuotaBucketTable(TOLERANCE, REGIONS)
     this.buckets.setAccounts([this.simulation.account], this.elapsed.now())
-    this.claimer = new ShareClaimer({ clock: this, elapsed: this.elapsed, logger: SILENT_LOGGER, view: this.view, self: this.node, life: String(this.processNumber), regionOf: REGIONS, registration: this, buckets: this.buckets, startedAt: this.elapsed.now(), isLeaving: () => this.isDead })
+    this.claimer = new ShareClaimer({ clock: this, elapsed: this.elapsed, logger: SILENT_LOGGER, view: this.view, self: this.node, life: String(this.processNumber), regionByDomain: REGIONS, registration: this, buckets: this.buckets, startedAt: this.elapsed.now(), isLeaving: () => this.isDead })
     this.quota = new AccountQuota(ACCOUNT, {
       now: () => this.elapsed.now(),
-      listGroups: () => splitByNearness(listAccountShares(ACCOUNT, REGIONS), this.node.domain, REGIONS),
-      getTokenLifetimeMs: () => this.simulation.flaws.keepsTokens === true ? Infinity : this.buckets.readPart(ACCOUNT)!.stockMs,
+      listGroups: () => splitByDistance(listAccountShares(ACCOUNT, REGIONS), this.node.domain, REGIONS),
+      getTokenLifetimeMs: () => this.simulation.flaws.keepsTokens === true ? Infinity : this.buckets.getBucketParameters(ACCOUNT)!.maxTokenAgeMs,
       ask: async (request) => await this.ask(request)
     })
     this.keepLease()
@@ -133,8 +133,8 @@
   sendRequest (): void {
     const sentAt = this.now()
     this.createProcessCallback(() => {
-      this.quota.take(({ end, token }) => {
-        if (end !== QuotaEnd.Given) {
+      this.quota.take(({ outcome: end, token }) => {
+        if (end !== QuotaOutcome.Granted) {
           this.simulation.refused++
           return
         }
@@ -151,12 +151,12 @@
 
   // INodeRegistration.
 
-  get tenure (): Tenure | undefined {
+  get currentLease (): RegistrationLease | undefined {
     if (this.lease === undefined) return undefined
     return { id: this.lease, until: this.simulation.flaws.ignoresLeaseEnd === true ? Infinity : this.leaseUntil }
   }
 
-  async claimShare (owner: ShareKeeper, expectedRevision: number): Promise<Result<number, StepError>> {
+  async claimShare (owner: ShareOwner, expectedRevision: number): Promise<Result<number, StepError>> {
     const { lease } = this
     const key = `share/${owner.share}`
     const written = await this.callStore(() => {
@@ -216,7 +216,7 @@
     for (const name of [...this.view.nodes.keys()]) {
       if (!nodes.has(name)) this.view.removeNode(name)
     }
-    for (const record of records) this.view.apply({ record, previous: undefined }, this.now())
+    for (const record of records) this.view.applyChange({ record, previous: undefined }, this.now())
     this.claimer.handleChange()
   }
 
@@ -237,7 +237,7 @@
   // Requests to share owners, and grants.
 
   private async ask (request: QuotaRequest): Promise<QuotaGrant | NoGrantReason> {
-    const owner = this.view.shares.get(request.share)?.keeper
+    const owner = this.view.shares.get(request.share)?.owner
     if (owner === undefined) return NoGrantReason.NotOwned
     return await new Promise((resolve) => {
       const settle = this.simulation.createReplyCallback(this, resolve)
--- a/packages/entry/test/node/settingsFile.test.ts
+++ b/packages/entry/test/node/settingsFile.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path'
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { SystemClock } from '@umberspar/base/node/systemClock'
-import { type ReadSettings, SettingsFile } from '../../src/node/settingsFile.js'
+import { type SettingsResult, SettingsFile } from '../../src/node/settingsFile.js'
 
 const ADDRESS = '127.0.0.1:1000'
 const SETTINGS = {
@@ -41,7 +41,7 @@
   // Guards against missing an update: a platform wrote new seeds into the file without sending a signal,
   // and after an outage of the store the process knew only seeds that no longer existed.
   it('is reloaded when it changes without a signal, in place or by renaming', async () => {
-    const reported: ReadSettings[] = []
+    const reported: SettingsResult[] = []
     let onNext: () => void = () => {}
     assert.ok(file.load().ok)
     file.watch((settings) => {
--- a/packages/entry/test/node/telemetry/boundedWriter.test.ts
+++ b/packages/entry/test/node/telemetry/boundedLogWriter.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { ManualClock } from '@umberspar/base/common/manualClock'
-import { BoundedLogWriter, type OutputSink, LinePriority } from '../../../src/node/telemetry/boundedWriter.js'
+import { BoundedLogWriter, type OutputSink, LinePriority } from '../../../src/node/telemetry/boundedLogWriter.js'
 
 const LINE = 'x'.repeat(199)
 
--- a/packages/soak/src/node/soakCallers.ts
+++ b/packages/soak/src/node/soakCallers.ts
@@ -83,7 +83,7 @@
       const leftMs = deadline - this.clock.now()
       if (entry === undefined || leftMs < RETRY_DELAY_MS) return
       const answer = await this.send(kind, operationId, `${operationId}-${attempt}`, entry, leftMs)
-      if (answer === AnswerKind.Whole) return
+      if (answer === AnswerKind.Complete) return
       const mayRetry = kind.isIdempotent || answer === AnswerKind.NotRun || answer === AnswerKind.NotSent
       if (!mayRetry) return
       failed.add(entry)
@@ -153,8 +153,8 @@
 
   private classifyAnswer (requestId: string, { status, body, seal, id }: Omit<PipelinedAnswer, 'closes'>): AnswerKind {
     if (status >= 200 && status < 300) {
-      if (seal?.endsWith(`-${requestId}`) !== true || id !== requestId) return AnswerKind.Crossed
-      return body === this.network.buildBody(requestId) ? AnswerKind.Whole : AnswerKind.Truncated
+      if (seal?.endsWith(`-${requestId}`) !== true || id !== requestId) return AnswerKind.Mismatched
+      return body === this.network.buildBody(requestId) ? AnswerKind.Complete : AnswerKind.Truncated
     }
     return isPromisedNotRun(status) ? AnswerKind.NotRun : AnswerKind.Unknown
   }
--- a/packages/soak/src/node/soakChecker.ts
+++ b/packages/soak/src/node/soakChecker.ts
@@ -90,7 +90,7 @@
 
   /** Records the start of a planned stop. */
   recordStopStart (entry: string): void {
-    this.historyChecker.record({ kind: HistoryEventKind.StopBegan, at: this.clock.now(), targets: [entry] })
+    this.historyChecker.record({ kind: HistoryEventKind.StopStarted, at: this.clock.now(), targets: [entry] })
   }
 
   /** Records the end of a planned stop. */
@@ -129,7 +129,7 @@
 
   onRefused (workerId: string, requestId: string): void {
     this.checkColdLimit(workerId)
-    this.historyChecker.record({ kind: HistoryEventKind.Offered, at: this.clock.now(), workerId, requestId })
+    this.historyChecker.record({ kind: HistoryEventKind.RefusedWhileDraining, at: this.clock.now(), workerId, requestId })
   }
 
   onRun (workerId: string, run: WorkerRun): void {
@@ -150,7 +150,7 @@
     const at = this.clock.now()
     const executionId = this.executionIds.get(`${workerId} ${requestId}`)
     if (executionId === undefined) return
-    if (fault !== WorkerFault.None) this.historyChecker.record({ kind: HistoryEventKind.FaultPlanted, at, workerId, requestId, fault })
+    if (fault !== WorkerFault.None) this.historyChecker.record({ kind: HistoryEventKind.FaultInjected, at, workerId, requestId, fault })
     this.historyChecker.record({ kind: HistoryEventKind.ExecutionEnded, at, executionId, workerId, end: isAnswered ? ExecutionEnd.Answered : ExecutionEnd.Cancelled })
   }
 
@@ -189,7 +189,7 @@
   }
 
   private handleViolation ({ kind, at, subject, detail }: Violation): void {
-    if (kind === ViolationKind.CutAtPlannedStop && !this.isCutOff(subject, at)) return
+    if (kind === ViolationKind.InterruptedByPlannedStop && !this.isCutOff(subject, at)) return
     this.violations.push({ rule: kind, at, subject, detail })
   }
 
--- a/packages/soak/src/node/soakGuests.ts
+++ b/packages/soak/src/node/soakGuests.ts
@@ -87,6 +87,6 @@
 
   private classify (status: number): AnswerKind {
     if (status === UNAUTHORIZED_STATUS || isPromisedNotRun(status)) return AnswerKind.NotRun
-    return status === 200 ? AnswerKind.Whole : AnswerKind.Unknown
+    return status === 200 ? AnswerKind.Complete : AnswerKind.Unknown
   }
 }
--- a/packages/soak/src/node/soakRun.ts
+++ b/packages/soak/src/node/soakRun.ts
@@ -144,7 +144,7 @@
   private checkRecovery (answersBefore: ReadonlyMap<AnswerKind, number>): void {
     const count = (kind: AnswerKind): number => (this.checker.answers.get(kind) ?? 0) - (answersBefore.get(kind) ?? 0)
     const total = Object.values(AnswerKind).reduce((sum, kind) => sum + count(kind), 0)
-    const served = count(AnswerKind.Whole)
+    const served = count(AnswerKind.Complete)
     if (served < total * MIN_SERVED_RATIO) this.checker.report(SoakRule.NotRecovered, 'end of the run', `${served} of ${total} attempts were served`)
   }
 
--- a/packages/soak/test/node/soakChecker.test.ts
+++ b/packages/soak/test/node/soakChecker.test.ts
@@ -33,7 +33,7 @@
     checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
     checker.onRunEnd('w-1', 'a', WorkerFault.None, true)
-    checker.recordAnswer('a', AnswerKind.Whole, '')
+    checker.recordAnswer('a', AnswerKind.Complete, '')
     assert.deepEqual(listRules(), [])
   })
 
@@ -41,14 +41,14 @@
     checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
     checker.onRun('w-2', { ...RUN, requestId: 'a' })
-    assert.deepEqual(listRules(), [ViolationKind.DoubledExecution])
+    assert.deepEqual(listRules(), [ViolationKind.DuplicateExecution])
   })
 
   it('reports a refusal of a request that had run', () => {
     checker.recordSent({ ...ATTEMPT, requestId: 'a' })
     checker.onRun('w-1', { ...RUN, requestId: 'a' })
     checker.recordAnswer('a', AnswerKind.NotRun, 'status 503')
-    assert.deepEqual(listRules(), [ViolationKind.RanThoughNotRun])
+    assert.deepEqual(listRules(), [ViolationKind.RanDespiteNotRun])
   })
 
   it('reports a run of a request that was not sent, or was sent with other content', () => {
@@ -124,6 +124,6 @@
     checker.recordSent({ ...ATTEMPT, operationId: 'op-2', requestId: 'b' })
     clock.stepBy(100)
     checker.recordAnswer('b', AnswerKind.Failed, 'ECONNRESET')
-    assert.deepEqual(listRules(), [ViolationKind.CutAtPlannedStop])
+    assert.deepEqual(listRules(), [ViolationKind.InterruptedByPlannedStop])
   })
 })
--- a/packages/soak/test/node/soakRun.test.ts
+++ b/packages/soak/test/node/soakRun.test.ts
@@ -9,7 +9,7 @@
 import { SoakRule } from '../../src/common/soakRule.js'
 import { runSoak } from '../../src/node/soakRun.js'
 
-const TIMED_RULES: ReadonlySet<string> = new Set([ViolationKind.WorkAfterDrain, ViolationKind.CutAtPlannedStop, SoakRule.ColdLimitExceeded, SoakRule.NotConverged, SoakRule.NotRecovered])
+const TIMED_RULES: ReadonlySet<string> = new Set([ViolationKind.WorkAfterDrain, ViolationKind.InterruptedByPlannedStop, SoakRule.ColdLimitExceeded, SoakRule.NotConverged, SoakRule.NotRecovered])
 /**
  * Includes each seed that ever failed, with its cause. 132 (60 s): the stand-in of the
  * workers answered "not run" to a request that it was running.
--- a/packages/steering/src/common/dedup/claimLeases.ts
+++ b/packages/steering/src/common/dedup/claimLeases.ts
@@ -54,7 +54,7 @@
   }
 
   private async openLease (deadline: Deadline): Promise<Result<SharedLease, StepError>> {
-    const granted = await this.store.openLease(CLAIM_RETENTION_SECONDS + LEASE_INTERVAL_SECONDS, deadline)
+    const granted = await this.store.acquireLease(CLAIM_RETENTION_SECONDS + LEASE_INTERVAL_SECONDS, deadline)
     return granted.map(({ leaseId, deadline: endsAt }) => {
       // The store may grant a shorter lease than requested.
       const usableUntil = createDeadline(endsAt, -CLAIM_RETENTION_SECONDS * MS_PER_SECOND)
--- a/packages/steering/src/common/dedup/claimKeeper.ts
+++ b/packages/steering/src/common/dedup/claimManager.ts
@@ -11,7 +11,7 @@
 import type { IKeyValueStore, StoredValue } from '../ports/keyValueStore.js'
 import { ClaimLeases, CLAIM_RETENTION_SECONDS } from './claimLeases.js'
 import { buildClaimKey, type ClaimRecord, ClaimState, decodeClaim, encodeClaim } from './claimRecord.js'
-import { ClaimFinalizer } from './claimSettler.js'
+import { ClaimFinalizer } from './claimFinalizer.js'
 import { ClaimDecision, decideClaim } from './decideClaim.js'
 import type { StoreCallBudget } from './storeCallBudget.js'
 
@@ -55,7 +55,7 @@
   /** The store is unavailable. */
   StoreUnavailable = 'store-unavailable',
   /** This node has exceeded its rate limit for store calls. */
-  OverRate = 'over-rate'
+  RateLimited = 'over-rate'
 }
 
 /** A claim held by this process: its request may run once, until the deadline. */
@@ -73,12 +73,12 @@
 export type ClaimAnswer =
   | { readonly kind: ClaimAnswerKind.Claimed, readonly claim: HeldClaim }
   | { readonly kind: ClaimAnswerKind.Refused, readonly decision: Exclude<ClaimDecision, ClaimDecision.TakeOver>, readonly existing: ClaimRecord | undefined }
-  | { readonly kind: ClaimAnswerKind.OverRate }
+  | { readonly kind: ClaimAnswerKind.RateLimited }
   /** `isReleased`: the store contains no claim of this request, and no write in flight can still add one. */
   | { readonly kind: ClaimAnswerKind.StoreUnavailable, readonly isReleased: boolean }
 
-/** Dependencies of {@link ClaimKeeper}. */
-export interface ClaimKeeperDependencies {
+/** Dependencies of {@link ClaimManager}. */
+export interface ClaimManagerDependencies {
   readonly store: IKeyValueStore
   readonly clock: IClock
   readonly random: IRandomSource
@@ -113,18 +113,18 @@
 }
 
 /** Claims keys and records the final states of claims. */
-export class ClaimKeeper {
+export class ClaimManager {
   private readonly leases: ClaimLeases
   private readonly finalizer: ClaimFinalizer
   private backoffUntil = -Infinity
 
-  constructor (private readonly dependencies: ClaimKeeperDependencies) {
+  constructor (private readonly dependencies: ClaimManagerDependencies) {
     this.leases = new ClaimLeases(dependencies.store, dependencies.clock)
     this.finalizer = new ClaimFinalizer(dependencies)
   }
 
   /** @returns the number of claims whose final state may not have been written to the store yet */
-  get pendingEnds (): number {
+  get pendingClaims (): number {
     return this.finalizer.size
   }
 
@@ -137,7 +137,7 @@
     const { clock, calls } = this.dependencies
     const now = clock.now()
     if (!hasPassed(this.backoffUntil, now)) return { kind: ClaimAnswerKind.StoreUnavailable, isReleased: true }
-    if (!calls.take(STORE_CALLS_PER_CLAIM)) return { kind: ClaimAnswerKind.OverRate }
+    if (!calls.take(STORE_CALLS_PER_CLAIM)) return { kind: ClaimAnswerKind.RateLimited }
     const deadline = Math.min(request.deadline, createDeadline(now, CLAIM_TIMEOUT_MS))
     const leaseId = await this.getLease(deadline)
     if (leaseId === undefined) {
--- a/packages/steering/src/common/entry/accountTable.ts
+++ b/packages/steering/src/common/entry/accountTable.ts
@@ -38,7 +38,7 @@
  * @param account the caller's account, if it has one
  * @returns the regions, empty if all may serve the request; undefined if none may
  */
-export function mergeHomes ({ homeRegions: routeRegions }: RoutePolicy, account: AccountPolicy | undefined): readonly string[] | undefined {
+export function computeHomeRegions ({ homeRegions: routeRegions }: RoutePolicy, account: AccountPolicy | undefined): readonly string[] | undefined {
   const accountRegions = account?.homeRegions ?? []
   if (routeRegions.length === 0) return accountRegions
   if (accountRegions.length === 0) return routeRegions
--- a/packages/steering/src/common/entry/admission.ts
+++ b/packages/steering/src/common/entry/admission.ts
@@ -8,19 +8,19 @@
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { Deadline } from '@umberspar/base/common/deadline'
-import type { Choice } from './chooseUpstream.js'
+import type { UpstreamChoice } from './chooseUpstream.js'
 
 /** The properties of a request, beside its chosen worker, that decide on its admission. */
 export interface AdmissionRequest {
   readonly now: Instant
   /** An answer after this instant has no value. */
-  readonly latestAt: Deadline
+  readonly deadline: Deadline
   /** Whether enough answers were observed to estimate the service time. */
-  readonly isLearned: boolean
+  readonly hasEnoughSamples: boolean
   /** Whether the request was already sent to a worker, and so has already used a slot. */
   readonly wasSent: boolean
   /** Saturation of the service, from 0 (free slots) to 1 (no free slots). */
-  readonly busyness: number
+  readonly saturation: number
 }
 
 /** A request with a score below this fraction of an on-time answer's value only takes a slot from others. */
@@ -40,11 +40,11 @@
  * Until the service time is known, only the wait counts. Otherwise an initial estimate that is
  * too high would reject all requests and never be corrected.
  */
-function isTooLate ({ value: score, expectedMs, waitMs }: Choice, { now, latestAt: deadline, isLearned: hasEnoughSamples }: AdmissionRequest): boolean {
+function isTooLate ({ score, expectedMs, waitMs }: UpstreamChoice, { now, deadline, hasEnoughSamples }: AdmissionRequest): boolean {
   return score < MIN_SCORE && now + (hasEnoughSamples ? expectedMs : waitMs) > deadline
 }
 
-function isOverloaded ({ onTimeProbabilityOnHit }: Choice, { isLearned: hasEnoughSamples, wasSent, busyness: saturation }: AdmissionRequest): boolean {
+function isOverloaded ({ onTimeProbabilityOnHit }: UpstreamChoice, { hasEnoughSamples, wasSent, saturation }: AdmissionRequest): boolean {
   return !wasSent && hasEnoughSamples && onTimeProbabilityOnHit < MIN_ON_TIME_PROBABILITY && saturation >= FULL_SATURATION
 }
 
@@ -53,6 +53,6 @@
  * @param request the request
  * @returns whether to send the request to the candidate rather than reject it
  */
-export function shouldOffer (choice: Choice, request: AdmissionRequest): boolean {
+export function shouldAdmit (choice: UpstreamChoice, request: AdmissionRequest): boolean {
   return !isTooLate(choice, request) && !isOverloaded(choice, request)
 }
--- a/packages/steering/src/common/entry/applyRecord.ts
+++ b/packages/steering/src/common/entry/applyRecord.ts
@@ -55,7 +55,7 @@
   },
   [RecordKind.Share]: (view, record, previous) => {
     if (record?.kind === RecordKind.Share) {
-      view.shares.set(record.value.share, { keeper: record.value, revision: record.revision })
+      view.shares.set(record.value.share, { owner: record.value, revision: record.revision })
       return [{ change: ViewChange.ShareClaimed, subject: record.value.share, revision: record.revision, reason: record.value.node }]
     }
     if (previous?.kind !== RecordKind.Share) return []
@@ -82,7 +82,7 @@
   },
   [RecordKind.Unreadable]: (view, record, previous, now) => {
     if (record?.kind !== RecordKind.Unreadable) return []
-    const events = previous === undefined || previous.kind === RecordKind.Unreadable ? [] : view.apply({ record: undefined, previous }, now)
+    const events = previous === undefined || previous.kind === RecordKind.Unreadable ? [] : view.applyChange({ record: undefined, previous }, now)
     return [{ change: ViewChange.RecordUnreadable, subject: record.key, revision: record.revision, reason: record.value }, ...events]
   }
 }
--- a/packages/steering/src/common/entry/handChance.ts
+++ b/packages/steering/src/common/entry/cacheHitEstimator.ts
@@ -9,9 +9,9 @@
  */
 
 /** What is known about a worker's cache and an object before a request is sent. */
-export enum HandState {
+export enum CacheState {
   /** This VM recently sent a request for the object to the worker. */
-  Remembered = 'remembered',
+  RecentlyUsed = 'remembered',
   /** No recent request from this VM; the worker ranks first for the key. */
   FirstRank = 'first-rank',
   /** No recent request from this VM; the worker ranks second. */
@@ -26,11 +26,11 @@
  * Probabilities before the first answer. The first two positions start near the middle so that
  * they get requests: without any, their estimates would never be corrected.
  */
-const INITIAL_PROBABILITIES: Readonly<Record<HandState, number>> = {
-  [HandState.Remembered]: 0.95,
-  [HandState.FirstRank]: 0.5,
-  [HandState.SecondRank]: 0.4,
-  [HandState.LaterRank]: 0.1
+const INITIAL_PROBABILITIES: Readonly<Record<CacheState, number>> = {
+  [CacheState.RecentlyUsed]: 0.95,
+  [CacheState.FirstRank]: 0.5,
+  [CacheState.SecondRank]: 0.4,
+  [CacheState.LaterRank]: 0.1
 }
 
 /**
@@ -38,18 +38,18 @@
  * @param rank the worker's position in the key's ranking, 0 for the first
  * @returns what is known about the worker's cache
  */
-export function classifyCacheState (isRecentlyUsed: boolean, rank: number): HandState {
-  if (isRecentlyUsed) return HandState.Remembered
-  if (rank === 0) return HandState.FirstRank
-  return rank === 1 ? HandState.SecondRank : HandState.LaterRank
+export function classifyCacheState (isRecentlyUsed: boolean, rank: number): CacheState {
+  if (isRecentlyUsed) return CacheState.RecentlyUsed
+  if (rank === 0) return CacheState.FirstRank
+  return rank === 1 ? CacheState.SecondRank : CacheState.LaterRank
 }
 
 /** The cache hit probabilities of one service. */
 export class CacheHitEstimator {
-  private readonly probabilities = new Map<HandState, number>(Object.entries(INITIAL_PROBABILITIES) as Array<[HandState, number]>)
+  private readonly probabilities = new Map<CacheState, number>(Object.entries(INITIAL_PROBABILITIES) as Array<[CacheState, number]>)
 
   /** @returns the probability of a cache hit, 0 to 1 */
-  getProbability (state: HandState): number {
+  getProbability (state: CacheState): number {
     return this.probabilities.get(state)!
   }
 
@@ -57,7 +57,7 @@
    * @param state what was known before the request
    * @param wasCacheHit whether the answer's latency indicates a cache hit
    */
-  observe (state: HandState, wasCacheHit: boolean): void {
+  observe (state: CacheState, wasCacheHit: boolean): void {
     const known = this.getProbability(state)
     this.probabilities.set(state, known + SMOOTHING_FACTOR * (Number(wasCacheHit) - known))
   }
--- a/packages/steering/src/common/entry/chooseEntries.ts
+++ b/packages/steering/src/common/entry/chooseEntryVms.ts
@@ -21,7 +21,7 @@
  * @param regionByDomain all failure domains with their regions
  * @returns the addresses of the nearest VMs
  */
-export function chooseEntries (nodes: Iterable<EntryNode>, location: CallerLocation, regionByDomain: ReadonlyMap<string, string>): string[] {
+export function chooseEntryVms (nodes: Iterable<EntryNode>, location: CallerLocation, regionByDomain: ReadonlyMap<string, string>): string[] {
   const all = [...nodes].sort((left, right) => (left.name < right.name ? -1 : 1))
   const sameDomain = all.filter(({ domain }) => domain === location.domain)
   const sameRegion = all.filter(({ domain }) => regionByDomain.get(domain) === location.region)
--- a/packages/steering/src/common/entry/chooseUpstream.ts
+++ b/packages/steering/src/common/entry/chooseUpstream.ts
@@ -9,7 +9,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 import type { Deadline } from '@umberspar/base/common/deadline'
 import { Proximity } from './proximity.js'
-import { HandState } from './handChance.js'
+import { CacheState } from './cacheHitEstimator.js'
 import type { UpstreamTracker } from './upstreamTracker.js'
 
 /** Cost of transferring one kilobyte, as a fraction of the value of one request answered on time. */
@@ -27,9 +27,9 @@
   /** Network round trip to the worker, in milliseconds. */
   readonly roundTripMs: number
   /** What this VM knows about the worker's cache and the request's object. */
-  readonly hand: HandState
+  readonly cacheState: CacheState
   /** Probability that the worker has the object cached, 0 to 1. */
-  readonly handChance: number
+  readonly cacheHitProbability: number
   /** Service time on a cache miss at a worker of normal speed, in milliseconds. */
   readonly missServiceTimeMs: number
   /** Service time on a cache hit at a worker of normal speed, in milliseconds. */
@@ -41,27 +41,27 @@
 }
 
 /** The request and the state of its service, as far as the choice depends on them. */
-export interface Need {
+export interface ChoiceContext {
   readonly now: Instant
   /** An answer before this instant has its full value. */
   readonly goalAt: Deadline
   /** An answer after this instant has no value. */
-  readonly latestAt: Deadline
+  readonly deadline: Deadline
   /** Size of the request and the expected answer together. */
   readonly bytes: number
   /** Saturation of the service, from 0 (free slots) to 1 (no free slots). */
-  readonly busyness: number
+  readonly saturation: number
 }
 
 /** A candidate with the estimates that its score is based on. */
-export interface Choice {
+export interface UpstreamChoice {
   readonly candidate: Candidate
   /** Expected time until the answer arrives, in milliseconds. */
   readonly expectedMs: number
   /** Expected wait for a slot, in milliseconds. */
   readonly waitMs: number
   /** Expected value less costs; the highest score wins. */
-  readonly value: number
+  readonly score: number
   /**
    * Probability of an answer before the goal if the worker has the object cached, so that only
    * the round trip, the queue and the worker's speed count.
@@ -121,14 +121,14 @@
   return 1 / (1 + Math.exp((expectedMs - limitMs) / spreadMs))
 }
 
-function computeMissCost ({ rank, hand: cacheState, handChance: cacheHitProbability }: Candidate, saturation: number): number {
-  if (cacheState === HandState.Remembered || rank === 0) return 0
+function computeMissCost ({ rank, cacheState, cacheHitProbability }: Candidate, saturation: number): number {
+  if (cacheState === CacheState.RecentlyUsed || rank === 0) return 0
   return (1 - cacheHitProbability) * (IDLE_MISS_COST + (SATURATED_MISS_COST - IDLE_MISS_COST) * saturation)
 }
 
 function estimateWaitMs ({ tracker, meanServiceTimeMs }: Candidate, slowdown: number, now: Instant): number {
-  const queuedCount = tracker.countHeld(now) + 1 - tracker.entry.slots
-  return Math.max(0, queuedCount) * meanServiceTimeMs * slowdown / tracker.entry.slots
+  const queuedCount = tracker.countInFlight(now) + 1 - tracker.registration.slots
+  return Math.max(0, queuedCount) * meanServiceTimeMs * slowdown / tracker.registration.slots
 }
 
 /**
@@ -137,25 +137,25 @@
  * @param costs transfer costs
  * @returns the candidate with its score
  */
-export function estimateChoice (candidate: Candidate, context: Need, costs: ByteCosts): Choice {
+export function estimateChoice (candidate: Candidate, context: ChoiceContext, costs: ByteCosts): UpstreamChoice {
   const { tracker, proximity } = candidate
   const { now } = context
-  const slowdown = tracker.getSlowness(now) * (tracker.isCold(now) ? COLD_WORKER_SLOWDOWN_RATIO : 1)
+  const slowdown = tracker.getSlowdown(now) * (tracker.isCold(now) ? COLD_WORKER_SLOWDOWN_RATIO : 1)
   const waitMs = estimateWaitMs(candidate, slowdown, now)
   const delayBeforeServiceMs = candidate.roundTripMs + waitMs
   const hit: LatencyEstimate = { waitMs, expectedMs: delayBeforeServiceMs + candidate.hitServiceTimeMs * slowdown }
   const miss: LatencyEstimate = { waitMs, expectedMs: delayBeforeServiceMs + candidate.missServiceTimeMs * slowdown }
-  const { handChance: cacheHitProbability } = candidate
+  const { cacheHitProbability } = candidate
   const expectedMs = cacheHitProbability * hit.expectedMs + (1 - cacheHitProbability) * miss.expectedMs
   const onTimeOnHit = estimateOnTimeProbability(hit, context.goalAt - now)
   const onTime = cacheHitProbability * onTimeOnHit + (1 - cacheHitProbability) * estimateOnTimeProbability(miss, context.goalAt - now)
-  const beforeDeadline = cacheHitProbability * estimateOnTimeProbability(hit, context.latestAt - now) + (1 - cacheHitProbability) * estimateOnTimeProbability(miss, context.latestAt - now)
-  const expectedValue = (onTime + LATE_VALUE_RATIO * Math.max(0, beforeDeadline - onTime)) * (1 - tracker.getFailure(now))
+  const beforeDeadline = cacheHitProbability * estimateOnTimeProbability(hit, context.deadline - now) + (1 - cacheHitProbability) * estimateOnTimeProbability(miss, context.deadline - now)
+  const expectedValue = (onTime + LATE_VALUE_RATIO * Math.max(0, beforeDeadline - onTime)) * (1 - tracker.getFailureRate(now))
   const transferCost = BYTE_COST_PER_KB[proximity](costs) * context.bytes / BYTES_PER_KB
   const bonus = candidate.rank === 0 && tracker.sentCount === 0 ? UNUSED_WORKER_BONUS : 0
-  const affinityCost = COST_PER_RANK * candidate.rank + computeMissCost(candidate, context.busyness)
+  const affinityCost = COST_PER_RANK * candidate.rank + computeMissCost(candidate, context.saturation)
   const score = expectedValue + bonus - transferCost - LATENCY_COST_PER_MS * expectedMs - affinityCost
-  return { candidate, expectedMs, waitMs, value: score, onTimeProbabilityOnHit: onTimeOnHit }
+  return { candidate, expectedMs, waitMs, score, onTimeProbabilityOnHit: onTimeOnHit }
 }
 
 /**
@@ -164,11 +164,11 @@
  * @param costs transfer costs
  * @returns the candidate with the highest score, or undefined if there are none
  */
-export function chooseUpstream (candidates: readonly Candidate[], context: Need, costs: ByteCosts): Choice | undefined {
-  let best: Choice | undefined
+export function chooseUpstream (candidates: readonly Candidate[], context: ChoiceContext, costs: ByteCosts): UpstreamChoice | undefined {
+  let best: UpstreamChoice | undefined
   for (const candidate of candidates) {
     const choice = estimateChoice(candidate, context, costs)
-    if (best === undefined || choice.value > best.value) best = choice
+    if (best === undefined || choice.score > best.score) best = choice
   }
   return best
 }
--- a/packages/steering/src/common/entry/decideAccess.ts
+++ b/packages/steering/src/common/entry/decideAccess.ts
@@ -14,11 +14,11 @@
 /** Limits on the age of the freshness proof. */
 export interface AccessBounds {
   /** Limit for running a request, in milliseconds. */
-  readonly runWithinMs: number
+  readonly maxAgeToRunMs: number
   /** Limit for reporting a key or a route as unknown, in milliseconds. */
-  readonly denyWithinMs: number
+  readonly maxAgeToDenyMs: number
   /** Limit for running a request restricted to home regions, in milliseconds. */
-  readonly homeWithinMs: number
+  readonly maxAgeToRunHomedMs: number
 }
 
 /** The facts that the decision depends on. */
@@ -33,7 +33,7 @@
 }
 
 /** Outcome of the decision. */
-export enum AccessEnd {
+export enum AccessOutcome {
   Allowed = 'allowed',
   /** No account holds the key, and the records are recent enough to say so. */
   KeyUnknown = 'key-unknown',
@@ -42,8 +42,8 @@
 }
 
 /** The decision. */
-export interface Access {
-  readonly end: AccessEnd
+export interface AccessDecision {
+  readonly outcome: AccessOutcome
   /** The caller's account; undefined where the route needs none or the account is not known. */
   readonly account?: AccountPolicy | undefined
 }
@@ -53,17 +53,17 @@
  * @param bounds limits on the age of the freshness proof
  * @returns whether the request may run, and for which account
  */
-export function decideAccess (request: AccessRequest, bounds: AccessBounds): Access {
+export function decideAccess (request: AccessRequest, bounds: AccessBounds): AccessDecision {
   const { accounts, route, keyDigest, proofAgeMs } = request
   const account = keyDigest === undefined ? undefined : accounts?.findByDigest(keyDigest)
   const hasHomes = route.homeRegions.length > 0 || (account !== undefined && account.homeRegions.length > 0)
-  if (hasHomes && proofAgeMs > bounds.homeWithinMs) return { end: AccessEnd.RecordsStale }
-  return accounts === undefined ? { end: AccessEnd.Allowed } : decideKey(request, account, bounds)
+  if (hasHomes && proofAgeMs > bounds.maxAgeToRunHomedMs) return { outcome: AccessOutcome.RecordsStale }
+  return accounts === undefined ? { outcome: AccessOutcome.Allowed } : decideKey(request, account, bounds)
 }
 
-function decideKey ({ route, proofAgeMs }: AccessRequest, account: AccountPolicy | undefined, { runWithinMs: maxAgeToRunMs, denyWithinMs: maxAgeToDenyMs }: AccessBounds): Access {
+function decideKey ({ route, proofAgeMs }: AccessRequest, account: AccountPolicy | undefined, { maxAgeToRunMs, maxAgeToDenyMs }: AccessBounds): AccessDecision {
   const mayRun = proofAgeMs <= maxAgeToRunMs
-  if (route.isOpen) return { end: AccessEnd.Allowed, account: mayRun ? account : undefined }
-  if (account !== undefined) return mayRun ? { end: AccessEnd.Allowed, account } : { end: AccessEnd.RecordsStale }
-  return { end: proofAgeMs <= maxAgeToDenyMs ? AccessEnd.KeyUnknown : AccessEnd.RecordsStale }
+  if (route.isOpen) return { outcome: AccessOutcome.Allowed, account: mayRun ? account : undefined }
+  if (account !== undefined) return mayRun ? { outcome: AccessOutcome.Allowed, account } : { outcome: AccessOutcome.RecordsStale }
+  return { outcome: proofAgeMs <= maxAgeToDenyMs ? AccessOutcome.KeyUnknown : AccessOutcome.RecordsStale }
 }
--- a/packages/steering/src/common/entry/domainDistances.ts
+++ b/packages/steering/src/common/entry/domainRoundTrips.ts
@@ -15,7 +15,7 @@
 const RISE_SMOOTHING_FACTOR = 0.05
 
 /** Round trip times by failure domain. */
-export class DomainDistances {
+export class DomainRoundTrips {
   private readonly roundTripMsByDomain = new Map<string, number>()
 
   /**
@@ -36,7 +36,7 @@
    * @param other a failure domain
    * @returns the round trip time, in milliseconds
    */
-  getRoundTrip (other: string): number {
+  getRoundTripMs (other: string): number {
     return this.roundTripMsByDomain.get(other) ?? INITIAL_ROUND_TRIP_MS[this.getProximity(other)]
   }
 
--- a/packages/steering/src/common/entry/entryView.ts
+++ b/packages/steering/src/common/entry/entryView.ts
@@ -8,7 +8,7 @@
 import { applyRecord } from './applyRecord.js'
 import { AccountTable } from './accountTable.js'
 import { WeightedRoundRobin } from './weightedRoundRobin.js'
-import type { EntryNode, RecordChange, ShareKeeper, UpstreamEntry } from './records.js'
+import type { EntryNode, RecordChange, ShareOwner, UpstreamRegistration } from './records.js'
 import type { CrashReports, Quarantine } from '../quarantine/crashReport.js'
 import { SharedRetryBudget, type RetryBudgetSettings } from './sharedRetryBudget.js'
 import type { SendingNode } from '../rateLimits/rateAllowance.js'
@@ -21,7 +21,7 @@
 
 /** The holder of a quota share, and the revision of its claim. */
 export interface ShareClaim {
-  readonly keeper: ShareKeeper
+  readonly owner: ShareOwner
   readonly revision: number
 }
 
@@ -34,14 +34,14 @@
 
 /** Properties of this VM and settings that don't change while the process runs. */
 export interface ViewContext extends Omit<PoolContext, 'listNodes' | 'listSendingNodes'> {
-  readonly budget: RetryBudgetSettings
+  readonly retryBudget: RetryBudgetSettings
 }
 
 /** The view of one entry VM. */
 export class EntryView {
   readonly pools = new Map<string, WorkerPool>()
   readonly nodes = new Map<string, EntryNode>()
-  readonly evacuated = new Set<string>()
+  readonly evacuatedDomains = new Set<string>()
   /** Claims of quota shares, by the share's name. */
   readonly shares = new Map<string, ShareClaim>()
   /** Reports of crashed workers, by the reporting entry VM's name. */
@@ -59,7 +59,7 @@
   private routeTable: RouteTable | undefined
   private accountTable: AccountTable | undefined
   private policiesByService: ReadonlyMap<string, ServicePolicy> = new Map()
-  parts = new WeightedRoundRobin()
+  roundRobin = new WeightedRoundRobin()
 
   /** @param context properties of this VM and settings */
   constructor (private readonly context: ViewContext) {}
@@ -97,7 +97,7 @@
    * @param service a service
    * @returns its workers
    */
-  readRoster (service: string): WorkerPool {
+  getPool (service: string): WorkerPool {
     let pool = this.pools.get(service)
     if (pool === undefined) {
       pool = new WorkerPool({ ...this.context, listNodes: () => this.listNodeNames(), listSendingNodes: () => this.listSendingNodes() })
@@ -111,17 +111,17 @@
    * @param service a service
    * @returns the budget for its retries
    */
-  readRepeats (service: string): SharedRetryBudget {
+  getRetryBudget (service: string): SharedRetryBudget {
     let retryBudget = this.retryBudgets.get(service)
     if (retryBudget === undefined) {
-      retryBudget = new SharedRetryBudget(this.context.budget, () => this.countNodes())
+      retryBudget = new SharedRetryBudget(this.context.retryBudget, () => this.countNodes())
       this.retryBudgets.set(service, retryBudget)
     }
     return retryBudget
   }
 
   /** @returns the retry budgets of the services that had requests */
-  listRepeats (): Iterable<readonly [string, SharedRetryBudget]> {
+  listRetryBudgets (): Iterable<readonly [string, SharedRetryBudget]> {
     return this.retryBudgets
   }
 
@@ -130,7 +130,7 @@
    * @param service the service that the request goes to
    * @returns the service times of the route's requests there
    */
-  readWork (route: RoutePolicy, service: string): ServiceTimeEstimate {
+  getServiceTimes (route: RoutePolicy, service: string): ServiceTimeEstimate {
     const name = `${route.name} ${service}`
     let serviceTimes = this.serviceTimesByRoute.get(name)
     if (serviceTimes === undefined) {
@@ -146,7 +146,7 @@
    * @param now the current time
    * @returns the changes of the view
    */
-  apply (change: RecordChange, now: Instant): ViewEvent[] {
+  applyChange (change: RecordChange, now: Instant): ViewEvent[] {
     return applyRecord(this, change, now)
   }
 
@@ -155,7 +155,7 @@
     this.currentDocument = document
     this.routeTable = new RouteTable(document)
     this.accountTable = document.accounts === undefined ? undefined : new AccountTable(document.accounts)
-    this.parts = new WeightedRoundRobin()
+    this.roundRobin = new WeightedRoundRobin()
     this.policiesByService = new Map(document.services.map((policy) => [policy.name, policy]))
     for (const [service, pool] of this.pools) pool.policy = this.policiesByService.get(service)
   }
@@ -166,15 +166,15 @@
    * @returns the change of the view; undefined if the registration is from an earlier process
    *   than the worker's present one
    */
-  putUpstream (registration: UpstreamEntry, now: Instant): UpstreamChange | undefined {
+  putUpstream (registration: UpstreamRegistration, now: Instant): UpstreamChange | undefined {
     const known = this.trackers.get(registration.id)
     if (known !== undefined && known.isEarlierStart(registration)) return undefined
     const isRestart = known !== undefined && known.isOtherStart(registration)
-    if (known !== undefined && (isRestart || known.entry.service !== registration.service)) this.removeUpstream(registration.id)
+    if (known !== undefined && (isRestart || known.registration.service !== registration.service)) this.removeUpstream(registration.id)
     const tracker = this.trackers.get(registration.id) ?? new UpstreamTracker(registration, now, isRestart ? known.listStartTimes() : [])
     tracker.update(registration, now)
     this.trackers.set(registration.id, tracker)
-    this.readRoster(registration.service).put(tracker)
+    this.getPool(registration.service).put(tracker)
     if (known === undefined) return ViewChange.UpstreamJoined
     return isRestart ? ViewChange.UpstreamRestarted : ViewChange.UpstreamChanged
   }
@@ -184,12 +184,12 @@
     const tracker = this.trackers.get(id)
     if (tracker === undefined) return
     this.trackers.delete(id)
-    this.pools.get(tracker.entry.service)?.remove(id)
+    this.pools.get(tracker.registration.service)?.remove(id)
   }
 
   /** @param domain a failure domain that gets no requests from now on */
   putEvacuation (domain: string): void {
-    this.evacuated.add(domain)
+    this.evacuatedDomains.add(domain)
     for (const pool of this.pools.values()) pool.clearRankings()
   }
 
@@ -201,12 +201,12 @@
    * @param now the current time
    */
   removeEvacuation (domain: string, now: Instant): void {
-    this.evacuated.delete(domain)
+    this.evacuatedDomains.delete(domain)
     for (const pool of this.pools.values()) {
       for (const tracker of pool.listTrackers()) {
-        if (tracker.entry.domain !== domain) continue
+        if (tracker.registration.domain !== domain) continue
         tracker.markCold(createDeadline(now, pool.policy?.coldMs ?? 0))
-        pool.cacheAffinity.removeWorker(tracker.entry.id)
+        pool.cacheAffinity.removeWorker(tracker.registration.id)
       }
       pool.clearRankings()
     }
--- a/packages/steering/src/common/entry/recordProof.ts
+++ b/packages/steering/src/common/entry/freshnessProof.ts
@@ -10,13 +10,13 @@
 /** The store's revision, as returned for a request. */
 export interface RevisionReading {
   /** When the request was sent, or earlier. */
-  readonly askedAt: Instant
+  readonly requestedAt: Instant
   /** The store's revision at some instant after that. */
   readonly revision: number
 }
 
 /** The freshness proof of one VM. All instants are of a clock that counts suspensions. */
-export class RecordProof {
+export class FreshnessProof {
   private latestProvenAt: Instant = Number.NEGATIVE_INFINITY
   private pendingReadings: RevisionReading[] = []
 
@@ -42,7 +42,7 @@
    * @param knownRevision revision up to which changes are now known
    */
   handleRevision (knownRevision: number): void {
-    for (const { askedAt, revision } of this.pendingReadings) {
+    for (const { requestedAt: askedAt, revision } of this.pendingReadings) {
       if (revision <= knownRevision) this.latestProvenAt = Math.max(this.latestProvenAt, askedAt)
     }
     this.pendingReadings = this.pendingReadings.filter(({ revision }) => revision > knownRevision)
@@ -53,7 +53,7 @@
    * @param at an instant at which the peer's records, all of which are known here, were the
    *   newest
    */
-  recordTold (at: Instant): void {
+  recordPeerProof (at: Instant): void {
     this.latestProvenAt = Math.max(this.latestProvenAt, at)
   }
 
--- a/packages/steering/src/common/entry/offerAgain.ts
+++ b/packages/steering/src/common/entry/mayRetry.ts
@@ -20,16 +20,16 @@
 }
 
 /** @returns whether to retry after an attempt that could not be sent */
-export function mayOfferAfterUnsent ({ unsent }: AttemptCounts): boolean {
+export function mayRetryAfterUnsent ({ unsent }: AttemptCounts): boolean {
   return unsent <= MAX_UNSENT_ATTEMPTS
 }
 
 /** @returns whether to retry after a worker rejected the request without executing it */
-export function mayOfferAfterRefusal ({ attempts }: RoutePolicy, { sent }: AttemptCounts): boolean {
+export function mayRetryAfterRefusal ({ attempts }: RoutePolicy, { sent }: AttemptCounts): boolean {
   return sent < attempts + MAX_EXTRA_REJECTIONS - 1
 }
 
 /** @returns whether to retry after an attempt that may have executed the request */
-export function mayOfferAfterRun ({ kind, attempts }: RoutePolicy, { sent }: AttemptCounts): boolean {
+export function mayRetryAfterPossibleRun ({ kind, attempts }: RoutePolicy, { sent }: AttemptCounts): boolean {
   return isRetryable(kind) && sent < attempts
 }
--- a/packages/steering/src/common/entry/offerLesson.ts
+++ b/packages/steering/src/common/entry/observeResponse.ts
@@ -1,12 +1,12 @@
 /** Updates an entry VM's estimates from a worker's answer: service times, the worker's speed and its cache. */
 import type { Instant } from '@umberspar/base/common/clock'
-import type { Choice } from './chooseUpstream.js'
+import type { UpstreamChoice } from './chooseUpstream.js'
 import type { WorkerPool } from './workerPool.js'
 import type { ServiceTimeEstimate } from './serviceTimeEstimate.js'
 
 /** One answer of a worker. */
-export interface AnswerObservation {
-  readonly choice: Choice
+export interface ResponseObservation {
+  readonly choice: UpstreamChoice
   /** Key of the request's object; undefined if workers cache nothing for the route. */
   readonly key: string | undefined
   /**
@@ -26,8 +26,8 @@
  * @param pool the workers of the service
  * @param serviceTimes service times of the request's route at that service
  */
-export function observeAnswer ({ choice, key, tookMs, bytes, now }: AnswerObservation, pool: WorkerPool, serviceTimes: ServiceTimeEstimate): void {
-  const { tracker, hand: cacheState, roundTripMs } = choice.candidate
+export function observeResponse ({ choice, key, tookMs, bytes, now }: ResponseObservation, pool: WorkerPool, serviceTimes: ServiceTimeEstimate): void {
+  const { tracker, cacheState, roundTripMs } = choice.candidate
   const delayBeforeServiceMs = choice.waitMs + roundTripMs
   const wasCacheHit = key !== undefined && serviceTimes.isCacheHit(tookMs - delayBeforeServiceMs)
   // Compared with the time for a hit or a miss respectively: a cache miss doesn't make a worker slow.
@@ -35,5 +35,5 @@
   serviceTimes.observe(wasCacheHit, tookMs - delayBeforeServiceMs, bytes)
   if (key === undefined) return
   pool.cacheHits.observe(cacheState, wasCacheHit)
-  pool.cacheAffinity.record(key, tracker.entry.id, now)
+  pool.cacheAffinity.record(key, tracker.registration.id, now)
 }
--- a/packages/steering/src/common/entry/heardClock.ts
+++ b/packages/steering/src/common/entry/peerClock.ts
@@ -7,13 +7,13 @@
  * nothing.
  */
 import type { Instant } from '@umberspar/base/common/clock'
-import { CLOCK_RATE_MARGIN } from '../limits/loans.js'
+import { CLOCK_DRIFT_MARGIN_RATIO } from '../limits/loans.js'
 
 /** Uncertainty above which a new request is made. */
 const MAX_UNCERTAINTY_MS = 300
 
 /** The clock of one other VM, relative to one request. */
-export class HeardClock {
+export class PeerClock {
   private firstReadingMs: number | undefined
   private firstUncertaintyMs = 0
 
@@ -25,7 +25,7 @@
    * @param clockMs the clock's reading in the message
    * @param now when the message arrived
    */
-  recordLine (clockMs: number, now: Instant): void {
+  recordReading (clockMs: number, now: Instant): void {
     if (this.firstReadingMs !== undefined) return
     this.firstReadingMs = clockMs
     this.firstUncertaintyMs = now - this.requestedAt
@@ -36,17 +36,17 @@
    * @returns an instant on this VM's clock that is not later; negative infinity before the
    *   first message
    */
-  toOwnInstant (clockMs: number): Instant {
+  toLocalInstant (clockMs: number): Instant {
     if (this.firstReadingMs === undefined) return Number.NEGATIVE_INFINITY
     const elapsedMs = clockMs - this.firstReadingMs
-    return this.requestedAt + elapsedMs - Math.abs(elapsedMs) * CLOCK_RATE_MARGIN
+    return this.requestedAt + elapsedMs - Math.abs(elapsedMs) * CLOCK_DRIFT_MARGIN_RATIO
   }
 
   /**
    * @param now the current time
    * @returns whether a new request would reduce the uncertainty noticeably
    */
-  isDoubtful (now: Instant): boolean {
-    return this.firstUncertaintyMs + (now - this.requestedAt) * CLOCK_RATE_MARGIN > MAX_UNCERTAINTY_MS
+  isUncertain (now: Instant): boolean {
+    return this.firstUncertaintyMs + (now - this.requestedAt) * CLOCK_DRIFT_MARGIN_RATIO > MAX_UNCERTAINTY_MS
   }
 }
--- a/packages/steering/src/common/entry/recordTable.ts
+++ b/packages/steering/src/common/entry/recordReplica.ts
@@ -12,7 +12,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, hasPassed, type Deadline } from '@umberspar/base/common/deadline'
 import { type DocumentDelta, DocumentParts } from './documentParts.js'
-import type { RecordNews, RevisionGap } from './recordNews.js'
+import type { RecordUpdate, RevisionGap } from './recordUpdate.js'
 import { type RecordChange, type RecordChanges, RecordKind, type RecordSnapshot, type RemovedRecord, type SteeringRecord, UpstreamState } from './records.js'
 
 /**
@@ -33,7 +33,7 @@
 const MAX_GAPS = 32
 
 /** This entry VM's replica of the records, by key. */
-export class RecordTable {
+export class RecordReplica {
   private readonly recordsByKey = new Map<string, SteeringRecord>()
   /** Keys removed during or just after an outage, with when the removal takes effect; Infinity until the store is back. */
   private readonly heldRemovalsByKey = new Map<string, Deadline>()
@@ -68,7 +68,7 @@
    * @param holdMs how much longer the peer holds back removals, in milliseconds; undefined for
    *   the store, which holds back nothing
    */
-  recordStoreRegained (now: Instant, holdMs?: number): void {
+  recordStoreRecovered (now: Instant, holdMs?: number): void {
     if (this.storeLostAt === undefined) return
     const outageMs = now - this.storeLostAt
     this.storeLostAt = undefined
@@ -82,7 +82,7 @@
    * @param now the current time
    * @returns how much longer removals are held back, in milliseconds
    */
-  getHoldMs (now: Instant): number {
+  getRemovalHoldMs (now: Instant): number {
     return Math.max(0, this.holdRemovalsUntil - now)
   }
 
@@ -91,7 +91,7 @@
    * @param now the current time
    * @param holdMs how much longer the peer does so, in milliseconds
    */
-  updateHold (now: Instant, holdMs: number): void {
+  updateRemovalHold (now: Instant, holdMs: number): void {
     if (holdMs > 0) this.holdRemovalsUntil = Math.max(this.holdRemovalsUntil, createDeadline(now, holdMs))
   }
 
@@ -120,14 +120,14 @@
    * @returns the records that were written or removed; undefined if the update does not fit
    *   the records known here, so that a full update is needed
    */
-  applyNews (update: RecordNews, now: Instant): RecordChange[] | undefined {
+  applyUpdate (update: RecordUpdate, now: Instant): RecordChange[] | undefined {
     if (!update.isWhole) return this.applyDelta(update, now)
     if (update.revision < this.storeRevision) return []
     const changes = this.applySnapshot({ revision: update.revision, records: update.written }, now)
     return [...changes, ...update.removed.flatMap((removal) => this.removeRecord(removal, now))]
   }
 
-  private applyDelta (delta: RecordNews, now: Instant): RecordChange[] | undefined {
+  private applyDelta (delta: RecordUpdate, now: Instant): RecordChange[] | undefined {
     const { document: documentDelta } = delta
     // A separate read of the operators' records may have brought a later configuration than the other records.
     const knownRevision = documentDelta === undefined ? 0 : Math.max(this.storeRevision, this.get(documentDelta.key)?.revision ?? 0)
@@ -146,7 +146,7 @@
    * @param revision the revision up to which a peer knows everything
    * @returns the update that the peer needs; undefined if none
    */
-  readNewsAfter (revision: number): RecordNews | undefined {
+  buildUpdateAfter (revision: number): RecordUpdate | undefined {
     if (revision >= this.storeRevision) return undefined
     const isWhole = revision === 0 || revision < this.discardedRevision || this.gaps.some(({ after, until }) => revision > after && revision < until)
     const tombstones = [...this.tombstonesByKey].map(([key, at]) => ({ key, revision: at }))
@@ -189,14 +189,14 @@
    * @param now the current time
    * @returns the removed records
    */
-  releaseHeld (now: Instant): RecordChange[] {
+  applyDueRemovals (now: Instant): RecordChange[] {
     if (this.storeLostAt !== undefined) return []
     const due = [...this.heldRemovalsByKey].filter(([, deadline]) => hasPassed(deadline, now))
     return due.map(([key]) => this.deleteRecord(key))
   }
 
-  /** @returns whether removals are held for {@link RecordTable.releaseHeld} */
-  get hasHeld (): boolean {
+  /** @returns whether removals are held for {@link RecordReplica.applyDueRemovals} */
+  get hasHeldRemovals (): boolean {
     return this.heldRemovalsByKey.size > 0
   }
 
--- a/packages/steering/src/common/entry/recordNews.ts
+++ b/packages/steering/src/common/entry/recordUpdate.ts
@@ -12,7 +12,7 @@
 }
 
 /** An update for a VM that replicates from another one. */
-export interface RecordNews extends RecordChanges {
+export interface RecordUpdate extends RecordChanges {
   /** Whether this is a full update: `written` holds all records, and others no longer exist. */
   readonly isWhole: boolean
   /** In a partial update, the gaps in which the sender does not know what was written and removed. */
