--- a/packages/steering/src/common/entry/records.ts
+++ b/packages/steering/src/common/entry/records.ts
@@ -14,7 +14,7 @@
 }
 
 /** The registration of one worker, a process of an upstream. After each start a worker has a new id or a new start time. */
-export interface UpstreamEntry {
+export interface UpstreamRegistration {
   readonly id: string
   /**
    * When the worker started, by its own wall clock, in whole milliseconds; undefined if it
@@ -45,7 +45,7 @@
 }
 
 /** The holder of one share of the quotas; the store lets one VM at a time claim it. */
-export interface ShareKeeper {
+export interface ShareOwner {
   /** The share's name. */
   readonly share: string
   /** The holder's VM name. */
@@ -73,10 +73,10 @@
 /** One record of the store. */
 export type SteeringRecord =
   | { readonly kind: RecordKind.Document, readonly key: string, readonly revision: number, readonly value: SteeringDocument }
-  | { readonly kind: RecordKind.Upstream, readonly key: string, readonly revision: number, readonly value: UpstreamEntry }
+  | { readonly kind: RecordKind.Upstream, readonly key: string, readonly revision: number, readonly value: UpstreamRegistration }
   | { readonly kind: RecordKind.Evacuation, readonly key: string, readonly revision: number, readonly value: string }
   | { readonly kind: RecordKind.Node, readonly key: string, readonly revision: number, readonly value: EntryNode }
-  | { readonly kind: RecordKind.Share, readonly key: string, readonly revision: number, readonly value: ShareKeeper }
+  | { readonly kind: RecordKind.Share, readonly key: string, readonly revision: number, readonly value: ShareOwner }
   | { readonly kind: RecordKind.CrashReports, readonly key: string, readonly revision: number, readonly value: CrashReports }
   | { readonly kind: RecordKind.Quarantine, readonly key: string, readonly revision: number, readonly value: Quarantine }
   /** `value` describes the error. */
--- a/packages/steering/src/common/entry/followPlan.ts
+++ b/packages/steering/src/common/entry/replicationPlan.ts
@@ -30,7 +30,7 @@
 const CHILD_PAIRS_PER_PAIR = 4
 
 /** The role of one VM. */
-export interface FollowPlan {
+export interface ReplicationPlan {
   /** Whether this VM watches the store. */
   readonly isFollower: boolean
   /** VMs to replicate from, the preferred ones first; a VM uses the first two that serve it. */
@@ -93,7 +93,7 @@
  * @param regionByDomain all failure domains with their regions
  * @returns whether this VM watches the store, and from whom it replicates otherwise
  */
-export function planFollowing (nodes: Iterable<EntryNode>, self: EntryNode, regionByDomain: RegionByDomain): FollowPlan {
+export function planReplication (nodes: Iterable<EntryNode>, self: EntryNode, regionByDomain: RegionByDomain): ReplicationPlan {
   const allNodes = [...[...nodes].filter(({ name }) => name !== self.name), self]
   const regions = splitNodes(allNodes, ({ domain }) => regionByDomain.get(domain) ?? '')
   const ownRegion = regionByDomain.get(self.domain) ?? ''
--- a/packages/steering/src/common/entry/comeBack.ts
+++ b/packages/steering/src/common/entry/retryDelay.ts
@@ -5,7 +5,7 @@
  * the same delay, they would return together and find the same queue.
  */
 import type { IRandomSource } from '@umberspar/base/common/random'
-import type { Choice } from './chooseUpstream.js'
+import type { UpstreamChoice } from './chooseUpstream.js'
 
 /** Shortest delay that a rejected caller is asked to wait. */
 const MIN_RETRY_DELAY_MS = 100
@@ -24,8 +24,8 @@
  * @param random source of the jitter
  * @returns the delay before the retry, in milliseconds
  */
-export function computeRetry (choice: Choice | undefined, random: IRandomSource): number {
-  return addSpread((choice?.waitMs ?? 0) * WAIT_RATIO, random)
+export function computeRetryDelayMs (choice: UpstreamChoice | undefined, random: IRandomSource): number {
+  return addRetryJitter((choice?.waitMs ?? 0) * WAIT_RATIO, random)
 }
 
 /**
@@ -33,6 +33,6 @@
  * @param random source of the jitter
  * @returns the delay before the retry, in milliseconds
  */
-export function addSpread (waitMs: number, random: IRandomSource): number {
+export function addRetryJitter (waitMs: number, random: IRandomSource): number {
   return Math.min(MAX_RETRY_DELAY_MS, Math.max(MIN_RETRY_DELAY_MS, waitMs)) * (1 + random.next() * JITTER_RATIO)
 }
--- a/packages/steering/src/common/entry/serviceTimeEstimate.ts
+++ b/packages/steering/src/common/entry/serviceTimeEstimate.ts
@@ -52,12 +52,12 @@
    * estimate that is too high would never be corrected.
    * @returns whether enough answers were observed to rely on the estimate
    */
-  get isLearned (): boolean {
+  get hasEnoughSamples (): boolean {
     return this.sampleCount >= MIN_SAMPLES
   }
 
   /** @returns the mean length of an answer, in bytes */
-  getBytes (): number {
+  getMeanResponseBytes (): number {
     return this.meanAnswerBytes
   }
 
--- a/packages/steering/src/common/entry/sharedRetryBudget.ts
+++ b/packages/steering/src/common/entry/sharedRetryBudget.ts
@@ -38,7 +38,7 @@
   constructor (private readonly settings: RetryBudgetSettings, private readonly countNodes: () => number) {}
 
   /** @param now when a request arrived */
-  recordFirst (now: Instant): void {
+  recordFirstAttempt (now: Instant): void {
     this.requestTimes.push(now)
     if (this.requestTimes.length > MAX_UNPRUNED_REQUESTS && this.requestTimes[0]! < now - this.settings.windowMs) this.removeExpired(now)
   }
--- a/packages/steering/src/common/entry/upstreamTracker.ts
+++ b/packages/steering/src/common/entry/upstreamTracker.ts
@@ -1,8 +1,8 @@
 /** What one entry VM has observed of one worker: its load, failures, speed and cold start. */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
-import { SendMeter } from '../rateLimits/sendMeter.js'
-import type { UpstreamEntry } from './records.js'
+import { SlidingWindowCounter } from '../rateLimits/slidingWindowCounter.js'
+import type { UpstreamRegistration } from './records.js'
 
 /** The load that a worker reported with an answer. */
 export interface LoadReport {
@@ -39,20 +39,20 @@
 const OVERDUE_FAILURE_RATE = 0.8
 
 /** A request that a worker has not answered yet. */
-export interface OpenRequest {
+export interface InFlightRequest {
   readonly overdueAt: Instant
 }
 
 /** One worker as observed by this entry VM. */
 export class UpstreamTracker {
   /** Requests sent during the worker's cold start. */
-  readonly coldMeter = new SendMeter()
+  readonly coldMeter = new SlidingWindowCounter()
   /** Requests sent while the worker reported a rate limit. */
-  readonly rateMeter = new SendMeter()
+  readonly rateMeter = new SlidingWindowCounter()
   /** Requests for which the worker was the first choice, sent or not, while it reported a rate limit. */
-  readonly demandMeter = new SendMeter()
+  readonly demandMeter = new SlidingWindowCounter()
   private coldUntil: Deadline
-  private readonly inFlight = new Set<OpenRequest>()
+  private readonly inFlight = new Set<InFlightRequest>()
   private lastReport: LoadReport | undefined
   private reportedAt: Instant = Number.NEGATIVE_INFINITY
   private meanLoad = 0
@@ -69,17 +69,17 @@
   sentCount = 0
 
   /**
-   * @param entry the worker's registration
+   * @param registration the worker's registration
    * @param now the current time, from which its cold start counts
    * @param earlierStartTimes start times of earlier processes under the same id
    */
-  constructor (public entry: UpstreamEntry, now: Instant, private readonly earlierStartTimes: readonly number[] = []) {
-    this.coldUntil = createDeadline(now, entry.coldMs)
+  constructor (public registration: UpstreamRegistration, now: Instant, private readonly earlierStartTimes: readonly number[] = []) {
+    this.coldUntil = createDeadline(now, registration.coldMs)
   }
 
   /** @returns the start times of all processes known under this id, the present one included */
   listStartTimes (): number[] {
-    const { startedAt } = this.entry
+    const { startedAt } = this.registration
     return startedAt === undefined ? [...this.earlierStartTimes] : [...this.earlierStartTimes, startedAt]
   }
 
@@ -88,7 +88,7 @@
    * restarted once more, with an empty cache.
    * @returns whether a registration is from a process that ended before the present one
    */
-  isEarlierStart ({ startedAt }: UpstreamEntry): boolean {
+  isEarlierStart ({ startedAt }: UpstreamRegistration): boolean {
     return startedAt !== undefined && this.earlierStartTimes.includes(startedAt)
   }
 
@@ -97,16 +97,16 @@
    * that were in flight there.
    * @returns whether a registration is from another process than the present one
    */
-  isOtherStart ({ startedAt }: UpstreamEntry): boolean {
-    return startedAt !== undefined && this.entry.startedAt !== undefined && startedAt !== this.entry.startedAt
+  isOtherStart ({ startedAt }: UpstreamRegistration): boolean {
+    return startedAt !== undefined && this.registration.startedAt !== undefined && startedAt !== this.registration.startedAt
   }
 
   /**
    * @param registration the worker's latest registration
    * @param now the current time
    */
-  update (registration: UpstreamEntry, now: Instant): void {
-    this.entry = { ...registration, startedAt: registration.startedAt ?? this.entry.startedAt }
+  update (registration: UpstreamRegistration, now: Instant): void {
+    this.registration = { ...registration, startedAt: registration.startedAt ?? this.registration.startedAt }
     if (registration.coldMs > 0) this.markCold(createDeadline(now, registration.coldMs))
   }
 
@@ -128,9 +128,9 @@
    * Records a request that is being sent.
    * @param now the current time
    * @param expectedMs expected time until the answer, in milliseconds
-   * @returns the request, for {@link UpstreamTracker.finish}
+   * @returns the request, for {@link UpstreamTracker.finishRequest}
    */
-  start (now: Instant, expectedMs: number): OpenRequest {
+  startRequest (now: Instant, expectedMs: number): InFlightRequest {
     const request = { overdueAt: now + Math.max(MIN_OVERDUE_MS, expectedMs * OVERDUE_RATIO) }
     this.inFlight.add(request)
     this.sentSinceReport++
@@ -143,8 +143,8 @@
     return request
   }
 
-  /** @param request the request as returned by {@link UpstreamTracker.start}, when it has ended in any way */
-  finish (request: OpenRequest): void {
+  /** @param request the request as returned by {@link UpstreamTracker.startRequest}, when it has ended in any way */
+  finishRequest (request: InFlightRequest): void {
     this.inFlight.delete(request)
   }
 
@@ -164,7 +164,7 @@
    * @param now the current time
    */
   recordResult (isFailure: boolean, now: Instant): void {
-    const failureRate = this.getFailure(now)
+    const failureRate = this.getFailureRate(now)
     this.failureRate = failureRate + FAILURE_SMOOTHING_FACTOR * (Number(isFailure) - failureRate)
     this.failureRateAt = now
   }
@@ -183,7 +183,7 @@
    * @param now the current time
    */
   recordLatencyRatio (latencyRatio: number, now: Instant): void {
-    const slowdown = this.getSlowness(now)
+    const slowdown = this.getSlowdown(now)
     this.slowdown = slowdown + SLOWDOWN_SMOOTHING_FACTOR * (Math.min(MAX_SLOWDOWN_RATIO, latencyRatio) - slowdown)
     this.slowdownAt = now
   }
@@ -192,7 +192,7 @@
    * @param now the current time
    * @returns the worker's estimated failure rate, 0 to 1
    */
-  getFailure (now: Instant): number {
+  getFailureRate (now: Instant): number {
     const decayed = this.failureRate * 2 ** (-(now - this.failureRateAt) / FAILURE_HALF_LIFE_MS)
     return this.hasOverdueRequest(now) ? Math.max(OVERDUE_FAILURE_RATE, decayed) : decayed
   }
@@ -201,7 +201,7 @@
    * @param now the current time
    * @returns how many times slower than its service the worker is; 1 if it is not slower
    */
-  getSlowness (now: Instant): number {
+  getSlowdown (now: Instant): number {
     const excess = Math.max(0, this.slowdown - 1)
     return 1 + excess * 2 ** (-(now - this.slowdownAt) / SLOWDOWN_HALF_LIFE_MS)
   }
@@ -211,7 +211,7 @@
    * @returns the estimated number of requests of all entry VMs that the worker is running or
    *   has queued
    */
-  countHeld (now: Instant): number {
+  countInFlight (now: Instant): number {
     if (this.lastReport === undefined) return this.inFlight.size
     const ageMs = now - this.reportedAt
     if (ageMs > REPORT_VALIDITY_MS) return Math.max(this.inFlight.size, this.meanLoad * 2 ** (-(ageMs - REPORT_VALIDITY_MS) / LOAD_HALF_LIFE_MS))
--- a/packages/steering/src/common/entry/weightedRoundRobin.ts
+++ b/packages/steering/src/common/entry/weightedRoundRobin.ts
@@ -13,7 +13,7 @@
    * @param route the request's route
    * @returns the service that gets this request
    */
-  choose (route: RoutePolicy): string {
+  chooseService (route: RoutePolicy): string {
     if (route.parts.length === 1) return route.parts[0]!.service
     const currentWeights = this.getCurrentWeights(route)
     let bestIndex = 0
--- a/packages/steering/src/common/entry/workerPool.ts
+++ b/packages/steering/src/common/entry/workerPool.ts
@@ -4,11 +4,11 @@
 import { computePairHash, PAIR_HASH_RANGE } from '../lookup/rendezvous.js'
 import { divideRateLimit, type RateAllowance, type RateTolerance, type SendingNode } from '../rateLimits/rateAllowance.js'
 import { COLD_WINDOW_MS, type ColdTolerance, computeColdAllowance } from './coldAllowance.js'
-import type { DomainDistances } from './domainDistances.js'
-import { classifyCacheState, CacheHitEstimator } from './handChance.js'
+import type { DomainRoundTrips } from './domainRoundTrips.js'
+import { classifyCacheState, CacheHitEstimator } from './cacheHitEstimator.js'
 import { KeyRanking } from './keyRanking.js'
 import { computeWorkerShares, type WorkerShares } from './workerShares.js'
-import { type UpstreamEntry, UpstreamState } from './records.js'
+import { type UpstreamRegistration, UpstreamState } from './records.js'
 import type { ServicePolicy } from './steeringDocument.js'
 import type { UpstreamTracker } from './upstreamTracker.js'
 import { CacheAffinity } from './cacheAffinity.js'
@@ -19,8 +19,8 @@
   /** This entry VM's name. */
   readonly node: string
   readonly domain: string
-  readonly regionOf: ReadonlyMap<string, string>
-  readonly distances: DomainDistances
+  readonly regionByDomain: ReadonlyMap<string, string>
+  readonly roundTrips: DomainRoundTrips
   readonly coldTolerance: ColdTolerance
   readonly rateTolerance: RateTolerance
   /** @returns the names of all entry VMs, this one included */
@@ -36,7 +36,7 @@
   /** Identifies the object; undefined if workers cache nothing for the route. */
   readonly key: string | undefined
   /** Ids of the workers that this request was already sent to. */
-  readonly tried: ReadonlySet<string>
+  readonly triedWorkers: ReadonlySet<string>
 }
 
 /**
@@ -100,13 +100,13 @@
    * @param now the current time
    * @returns the saturation of the service, from 0 (free slots) to 1 (no free slots)
    */
-  getBusyness (now: Instant): number {
+  getSaturation (now: Instant): number {
     if (now < this.saturationValidUntil) return this.saturation
     let inFlight = 0
     let slots = 0
     for (const tracker of this.trackers.values()) {
-      inFlight += Math.min(MAX_IN_FLIGHT_PER_SLOT * tracker.entry.slots, tracker.countHeld(now))
-      slots += tracker.entry.slots
+      inFlight += Math.min(MAX_IN_FLIGHT_PER_SLOT * tracker.registration.slots, tracker.countInFlight(now))
+      slots += tracker.registration.slots
     }
     const utilization = slots === 0 ? 0 : inFlight / slots
     this.saturation = Math.min(1, Math.max(0, (utilization - SPARE_UTILIZATION_RATIO) / (FULL_UTILIZATION_RATIO - SPARE_UTILIZATION_RATIO)))
@@ -119,7 +119,7 @@
    * @param tracker the worker
    */
   put (tracker: UpstreamTracker): void {
-    this.trackers.set(tracker.entry.id, tracker)
+    this.trackers.set(tracker.registration.id, tracker)
     this.clearShares()
   }
 
@@ -156,7 +156,7 @@
     for (const [rank, id] of ranks.entries()) {
       if (candidates.length >= MAX_CANDIDATES) break
       const tracker = this.trackers.get(id)
-      if (tracker === undefined || request.tried.has(id) || !this.hasColdCapacity(tracker, now)) continue
+      if (tracker === undefined || request.triedWorkers.has(id) || !this.hasColdCapacity(tracker, now)) continue
       if (scope === RateLimitScope.AssignedKeys && candidates.length === 0 && tracker.rateLimit !== undefined) tracker.demandMeter.record(now)
       if (!this.hasRateCapacity(tracker, key, now, scope)) continue
       candidates.push(this.buildCandidate(tracker, request.key, serviceTimes, rank, now))
@@ -165,15 +165,15 @@
   }
 
   private buildCandidate (tracker: UpstreamTracker, key: string | undefined, serviceTimes: ServiceTimeEstimate, rank: number, now: Instant): Candidate {
-    const { domain, id } = tracker.entry
+    const { domain, id } = tracker.registration
     const cacheState = classifyCacheState(key !== undefined && this.cacheAffinity.has(key, id, now), rank)
     return {
       tracker,
-      proximity: this.context.distances.getProximity(domain),
-      roundTripMs: this.context.distances.getRoundTrip(domain),
-      hand: cacheState,
+      proximity: this.context.roundTrips.getProximity(domain),
+      roundTripMs: this.context.roundTrips.getRoundTripMs(domain),
+      cacheState,
       // Without a key there is no cache entry to hit.
-      handChance: key === undefined ? 0 : this.cacheHits.getProbability(cacheState),
+      cacheHitProbability: key === undefined ? 0 : this.cacheHits.getProbability(cacheState),
       missServiceTimeMs: serviceTimes.getServiceTimeMs(false),
       hitServiceTimeMs: serviceTimes.getServiceTimeMs(key !== undefined),
       meanServiceTimeMs: serviceTimes.getServiceTimeMs(key !== undefined),
@@ -185,7 +185,7 @@
     if (!tracker.isCold(now)) return true
     const perSecond = this.policy?.coldPerSecond ?? 0
     const { node, coldTolerance } = this.context
-    return tracker.coldMeter.getFreeAt(computeColdAllowance(perSecond, coldTolerance, tracker.entry.id, this.context.listNodes(), node), COLD_WINDOW_MS, now) <= now
+    return tracker.coldMeter.getNextAllowedAt(computeColdAllowance(perSecond, coldTolerance, tracker.registration.id, this.context.listNodes(), node), COLD_WINDOW_MS, now) <= now
   }
 
   /**
@@ -203,12 +203,12 @@
 
   private hasRateCapacity (tracker: UpstreamTracker, key: string, now: Instant, scope: RateLimitScope): boolean {
     if (tracker.rateLimit === undefined) return true
-    const { windowMs, named: assigned, probeIntervalMs } = this.getAllowance(tracker, tracker.rateLimit)
+    const { windowMs, maxRequests: assigned, probeIntervalMs } = this.getAllowance(tracker, tracker.rateLimit)
     if (scope === RateLimitScope.AssignedKeys) {
       // Without an assigned rate, the request only probes whether the limit still applies; any key will do.
       if (assigned === 0) return now >= tracker.rateLimitAt + probeIntervalMs
       const demand = tracker.demandMeter.count(windowMs, now)
-      if (!isAssigned(key, tracker.entry.id, assigned / Math.max(1, demand))) return false
+      if (!isAssigned(key, tracker.registration.id, assigned / Math.max(1, demand))) return false
     }
     return this.getRateAvailableAt(tracker, now) <= now
   }
@@ -217,11 +217,11 @@
   private getRateAvailableAt (tracker: UpstreamTracker, now: Instant): Instant {
     const { rateLimit, rateMeter, rateLimitAt } = tracker
     if (rateLimit === undefined) return now
-    const { windowMs, tolerated, probeIntervalMs } = this.getAllowance(tracker, rateLimit)
-    return tolerated === 0 ? Math.max(now, rateLimitAt + probeIntervalMs) : rateMeter.getFreeAt(tolerated, windowMs, now)
+    const { windowMs, maxToleratedRequests: tolerated, probeIntervalMs } = this.getAllowance(tracker, rateLimit)
+    return tolerated === 0 ? Math.max(now, rateLimitAt + probeIntervalMs) : rateMeter.getNextAllowedAt(tolerated, windowMs, now)
   }
 
-  private getAllowance ({ entry: registration }: UpstreamTracker, limit: number): RateAllowance {
+  private getAllowance ({ registration }: UpstreamTracker, limit: number): RateAllowance {
     const nodes = this.context.listSendingNodes()
     const cached = this.allowancesByWorker.get(registration.id)
     if (cached !== undefined && cached.limit === limit && cached.nodes === nodes) return cached.allowance
@@ -232,16 +232,16 @@
 
   /** @returns the share of each failure domain's requests that is intended for the worker */
   private computeDemandByDomain (workerId: string): Map<string, number> {
-    const { regionOf: regionByDomain } = this.context
+    const { regionByDomain } = this.context
     this.sharesByDomain ??= computeWorkerShares(this.listReady(new Set()), regionByDomain)
     const demandByDomain = new Map<string, number>()
     for (const [domain, shares] of this.sharesByDomain) demandByDomain.set(domain, shares.get(workerId) ?? 0)
     return demandByDomain
   }
 
-  private listReady (evacuatedDomains: ReadonlySet<string>): UpstreamEntry[] {
+  private listReady (evacuatedDomains: ReadonlySet<string>): UpstreamRegistration[] {
     return [...this.trackers.values()]
-      .map(({ entry: registration }) => registration)
+      .map(({ registration }) => registration)
       .filter((entry) => entry.state === UpstreamState.Ready && !evacuatedDomains.has(entry.domain))
       .sort((left, right) => (left.id < right.id ? -1 : 1))
   }
@@ -263,7 +263,7 @@
   }
 
   private buildRanking (homeRegions: readonly string[], evacuatedDomains: ReadonlySet<string>): KeyRanking {
-    const { regionOf: regionByDomain, domain } = this.context
+    const { regionByDomain, domain } = this.context
     const workers = this.listReady(evacuatedDomains)
       .filter((registration) => homeRegions.length === 0 || homeRegions.includes(regionByDomain.get(registration.domain) ?? ''))
     const shares = computeWorkerShares(workers, regionByDomain).get(domain) ?? new Map<string, number>()
--- a/packages/steering/src/common/spread/neighbours.ts
+++ b/packages/steering/src/common/gossip/neighbours.ts
@@ -6,14 +6,14 @@
  */
 import type { IRandomSource } from '@umberspar/base/common/random'
 import { computeHash32 } from '../hash/xxHash.js'
-import type { SpreadNode } from './spreadNode.js'
+import type { NodeLocation } from './nodeLocation.js'
 
 /** Successors on the region's ring; in a region of up to four nodes these are all others. */
 export const MAX_RING_NEIGHBOURS = 3
 /** Neighbours in other regions in one round. */
 export const MAX_REMOTE_NEIGHBOURS = 2
 /** Up to this fleet size, rounds take place every second and every digest reports on all nodes. */
-export const SMALL_FLEET = 32
+export const MAX_SMALL_FLEET_VMS = 32
 
 const MIN_ROUND_INTERVAL_MS = 1000
 const MAX_ROUND_INTERVAL_MS = 5000
@@ -67,7 +67,7 @@
  * @param random source of random numbers
  * @returns the neighbours
  */
-export function chooseNeighbours (nodes: readonly SpreadNode[], self: SpreadNode, random: IRandomSource): Neighbours {
+export function chooseNeighbours (nodes: readonly NodeLocation[], self: NodeLocation, random: IRandomSource): Neighbours {
   const others = nodes.filter((node) => node.nodeId !== self.nodeId)
   const regional = others.filter((node) => node.region === self.region).map((node) => node.nodeId)
   const ring = listRingSuccessors(regional, self.nodeId)
@@ -80,6 +80,6 @@
  * @param nodeCount number of entry VMs
  * @returns interval between two rounds in milliseconds, without jitter
  */
-export function computeRoundSpan (nodeCount: number): number {
-  return Math.min(MAX_ROUND_INTERVAL_MS, MIN_ROUND_INTERVAL_MS * Math.max(1, nodeCount / SMALL_FLEET))
+export function computeRoundIntervalMs (nodeCount: number): number {
+  return Math.min(MAX_ROUND_INTERVAL_MS, MIN_ROUND_INTERVAL_MS * Math.max(1, nodeCount / MAX_SMALL_FLEET_VMS))
 }
--- a/packages/steering/src/common/spread/pushTree.ts
+++ b/packages/steering/src/common/gossip/pushTree.ts
@@ -8,7 +8,7 @@
  * and a missed document is found by exchanging digests.
  */
 import { rankByRendezvous } from '../lookup/rendezvous.js'
-import { listNodeIdsInRegion, type SpreadNode } from './spreadNode.js'
+import { listNodeIdsInRegion, type NodeLocation } from './nodeLocation.js'
 
 /** Maximum number of children of a node in each of the two trees; a node sends to at most twice as many. */
 export const MAX_PUSH_FAN_OUT = 4
@@ -39,12 +39,12 @@
 }
 
 /** Chooses the root of a region's tree. */
-function chooseRegionHead (nodes: readonly SpreadNode[], region: string, origin: SpreadNode): string | undefined {
+function chooseRegionHead (nodes: readonly NodeLocation[], region: string, origin: NodeLocation): string | undefined {
   if (region === origin.region) return origin.nodeId
   return rankByRendezvous(`push/${origin.nodeId}`, listNodeIdsInRegion(nodes, region))[0]
 }
 
-function listChildRegionHeads (nodes: readonly SpreadNode[], self: SpreadNode, origin: SpreadNode): string[] {
+function listChildRegionHeads (nodes: readonly NodeLocation[], self: NodeLocation, origin: NodeLocation): string[] {
   if (chooseRegionHead(nodes, self.region, origin) !== self.nodeId) return []
   const regions = [...new Set(nodes.map((node) => node.region))]
   const order = rankWithFirst(origin.region, regions, origin.nodeId)
@@ -58,7 +58,7 @@
  * @param route origin and scope of the push
  * @returns ids of the nodes: heads of other regions first, then nodes of this node's region
  */
-export function choosePushTargets (nodes: readonly SpreadNode[], self: SpreadNode, route: PushRoute): string[] {
+export function choosePushTargets (nodes: readonly NodeLocation[], self: NodeLocation, route: PushRoute): string[] {
   const origin = nodes.find((node) => node.nodeId === route.originId) ?? { nodeId: route.originId, region: self.region }
   const childRegionHeads = route.scope === PushScope.Global ? listChildRegionHeads(nodes, self, origin) : []
   const regionHead = chooseRegionHead(nodes, self.region, origin)
--- a/packages/steering/src/common/spread/storeReads.ts
+++ b/packages/steering/src/common/gossip/storeReads.ts
@@ -6,7 +6,7 @@
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline } from '@umberspar/base/common/deadline'
-import { computeRoundSpan } from './neighbours.js'
+import { computeRoundIntervalMs } from './neighbours.js'
 import { addJitter, type IRandomSource } from '@umberspar/base/common/random'
 
 /** Periodic reads find changes that a watch misses if its stream hangs without an error. */
@@ -49,7 +49,7 @@
     return createDeadline(lastReadAt, addJitter(random, intervalMs, JITTER_RATIO))
   }
   if (!input.hasConfiguration) return createDeadline(lastReadAt, addJitter(random, Math.max(RETRY_DELAY_MS, fleetIntervalMs), JITTER_RATIO))
-  const confirmationMs = MAX_CONFIRMATION_ROUNDS * computeRoundSpan(nodeCount)
+  const confirmationMs = MAX_CONFIRMATION_ROUNDS * computeRoundIntervalMs(nodeCount)
   const delayMs = addJitter(random, Math.max(MIN_UNCONFIRMED_READ_DELAY_MS, fleetIntervalMs, confirmationMs), JITTER_RATIO)
   return createDeadline(Math.max(input.confirmedAt ?? lastReadAt, lastReadAt), delayMs)
 }
--- a/packages/steering/src/common/spread/watchers.ts
+++ b/packages/steering/src/common/gossip/watchers.ts
@@ -4,7 +4,7 @@
  * a region without a watcher still receives changes through gossip.
  */
 import { rankByRendezvous } from '../lookup/rendezvous.js'
-import { listNodeIdsInRegion, type SpreadNode } from './spreadNode.js'
+import { listNodeIdsInRegion, type NodeLocation } from './nodeLocation.js'
 
 /** If one of them is paused or fails, the other continues. */
 export const MAX_WATCHERS_PER_REGION = 2
@@ -14,7 +14,7 @@
  * @param region a region
  * @returns ids of its watchers, ordered by rank
  */
-export function chooseWatchers (nodes: readonly SpreadNode[], region: string): string[] {
+export function chooseWatchers (nodes: readonly NodeLocation[], region: string): string[] {
   return rankByRendezvous(`watch/${region}`, listNodeIdsInRegion(nodes, region)).slice(0, MAX_WATCHERS_PER_REGION)
 }
 
@@ -23,6 +23,6 @@
  * @param self a node
  * @returns whether the node watches the store
  */
-export function isWatcher (nodes: readonly SpreadNode[], self: SpreadNode): boolean {
+export function isWatcher (nodes: readonly NodeLocation[], self: NodeLocation): boolean {
   return chooseWatchers(nodes, self.region).includes(self.nodeId)
 }
--- a/packages/steering/src/common/limits/partKeeper.ts
+++ b/packages/steering/src/common/limits/divisionTracker.ts
@@ -18,10 +18,10 @@
 const EMPTY_SHARE: SlotShare = { slots: 0, connections: 0 }
 
 /** The first active view of a node: it has no share until all other members have acknowledged a view that contains it. */
-const EMPTY_VIEW: DivisionView = { stamp: '', listVersion: -1, members: [], shares: new Map(), placeShares: new Map() }
+const EMPTY_VIEW: DivisionView = { fingerprint: '', listVersion: -1, members: [], shares: new Map(), placeShares: new Map() }
 
 /** How much of its limits a node uses. */
-export interface LimitUse {
+export interface LimitUsage {
   /** Slots in use or lent, by slot key. */
   readonly slots: ReadonlyMap<string, number>
   /** The same by place key, for all workers of the place together. */
@@ -42,7 +42,7 @@
 }
 
 /** Tracks the active division views of this node and the acknowledgements of its peers. */
-export class PartKeeper {
+export class DivisionTracker {
   /** The active views, the oldest first. */
   private views: DivisionView[] = [EMPTY_VIEW]
   private readonly acknowledgementsByPeer = new Map<string, Acknowledgements>()
@@ -63,7 +63,7 @@
 
   /** @returns the fingerprints of the active views, the oldest first; an empty string stands for the initial view without shares */
   get activeFingerprints (): string[] {
-    return this.views.map((view) => view.stamp)
+    return this.views.map((view) => view.fingerprint)
   }
 
   /**
@@ -72,7 +72,7 @@
    * @returns whether it differs from the newest one
    */
   applyView (view: DivisionView): boolean {
-    if (view.stamp === this.newest?.stamp) return false
+    if (view.fingerprint === this.newest?.fingerprint) return false
     this.views.push(view)
     this.removeSupersededViews()
     return true
@@ -87,8 +87,8 @@
    * @param fingerprint fingerprint of the view
    * @returns whether older views were dropped, so that shares may have grown
    */
-  observe (peer: PeerProcess, fingerprint: string): boolean {
-    this.observeProcess(peer)
+  recordAcknowledgement (peer: PeerProcess, fingerprint: string): boolean {
+    this.recordProcess(peer)
     const acknowledgements = this.acknowledgementsByPeer.get(peer.nodeId)
     if (acknowledgements === undefined || acknowledgements.incarnation !== peer.incarnation || acknowledgements.fingerprints.at(-1) === fingerprint) return false
     acknowledgements.fingerprints = [...acknowledgements.fingerprints.filter((other) => other !== fingerprint), fingerprint].slice(-MAX_FINGERPRINTS_PER_PEER)
@@ -101,24 +101,24 @@
    * act on an older VM list than the previous one.
    * @param peer the peer
    */
-  observeProcess (peer: PeerProcess): void {
+  recordProcess (peer: PeerProcess): void {
     const acknowledgements = this.acknowledgementsByPeer.get(peer.nodeId)
     if (acknowledgements !== undefined && acknowledgements.incarnation >= peer.incarnation) return
     this.acknowledgementsByPeer.set(peer.nodeId, { incarnation: peer.incarnation, fingerprints: [] })
   }
 
   /** @returns members that have not acknowledged the newest view; empty if it is the only active one */
-  listMissing (): string[] {
+  listPendingMembers (): string[] {
     const newest = this.newest
     if (newest === undefined || this.isSettled) return []
-    return this.listOtherMembers(this.views).filter((nodeId) => !this.hasAcknowledged(nodeId, newest.stamp))
+    return this.listOtherMembers(this.views).filter((nodeId) => !this.hasAcknowledged(nodeId, newest.fingerprint))
   }
 
   /**
    * @param slotKey key of a worker's limits
    * @returns this node's share of them
    */
-  getPart (slotKey: string): SlotShare {
+  getShare (slotKey: string): SlotShare {
     return this.views.reduce((smallest: SlotShare, view) => {
       const share = view.shares.get(slotKey) ?? EMPTY_SHARE
       return { slots: Math.min(smallest.slots, share.slots), connections: Math.min(smallest.connections, share.connections) }
@@ -129,7 +129,7 @@
    * @param placeKey key of a place
    * @returns this node's share of the place's concurrency limit
    */
-  getPlacePart (placeKey: string): number {
+  getPlaceShare (placeKey: string): number {
     return this.views.reduce((smallest, view) => Math.min(smallest, view.placeShares.get(placeKey) ?? 0), Infinity)
   }
 
@@ -138,13 +138,13 @@
    * @param use the current usage
    * @returns the newest active view that the usage fits into; undefined if there is none
    */
-  findAcknowledged (use: LimitUse): DivisionView | undefined {
+  findAcknowledgedView (use: LimitUsage): DivisionView | undefined {
     return this.views.findLast((view) => view !== EMPTY_VIEW && isWithinShares(view, use))
   }
 
   private removeSupersededViews (): boolean {
     for (let index = this.views.length - 1; index > 0; index--) {
-      const fingerprint = this.views[index]!.stamp
+      const fingerprint = this.views[index]!.fingerprint
       const others = this.listOtherMembers(this.views.slice(0, index + 1))
       if (!others.every((nodeId) => this.hasAcknowledged(nodeId, fingerprint))) continue
       this.views = this.views.slice(index)
@@ -164,7 +164,7 @@
   }
 }
 
-function isWithinShares (view: DivisionView, use: LimitUse): boolean {
+function isWithinShares (view: DivisionView, use: LimitUsage): boolean {
   for (const [slotKey, count] of use.slots) {
     if (count > (view.shares.get(slotKey)?.slots ?? 0)) return false
   }
--- a/packages/steering/src/common/limits/divisionView.ts
+++ b/packages/steering/src/common/limits/divisionView.ts
@@ -22,7 +22,7 @@
 /** This node's shares for one configuration and one roster. */
 export interface DivisionView {
   /** Hash of the configuration and the roster; two nodes have the same one only if they hold the same of both. */
-  readonly stamp: string
+  readonly fingerprint: string
   readonly listVersion: number
   /** Node ids of the roster. */
   readonly members: readonly string[]
@@ -62,7 +62,7 @@
       placeShares.set(buildPlaceKey(service, failureDomain), place.maxConcurrency === undefined ? Infinity : placeShare?.slots ?? 0)
     }
   }
-  return { stamp: computeFingerprint(input), listVersion: input.listVersion, members: input.members.map(({ nodeId }) => nodeId), shares, placeShares }
+  return { fingerprint: computeFingerprint(input), listVersion: input.listVersion, members: input.members.map(({ nodeId }) => nodeId), shares, placeShares }
 }
 
 function computeFingerprint (input: DivisionInput): string {
--- a/packages/steering/src/common/limits/kindLimits.ts
+++ b/packages/steering/src/common/limits/kindLimits.ts
@@ -29,7 +29,7 @@
  * @param kind a kind of request
  * @returns the number of slots
  */
-export function computeShare (slots: number, kind: RequestKind): number {
+export function computeGuaranteedSlots (slots: number, kind: RequestKind): number {
   const uploads = Math.floor(slots * UPLOAD_SLOT_RATIO)
   return kind === RequestKind.Upload ? Math.max(uploads, slots === 1 ? 1 : 0) : slots - uploads
 }
@@ -55,7 +55,7 @@
   const { slots, inUse, waiting } = demand
   if (slots <= 0) return { [RequestKind.Call]: 0, [RequestKind.Upload]: 0 }
   if (slots === 1) return computeSingleSlotLimits(demand)
-  const guaranteedUploads = computeShare(slots, RequestKind.Upload)
+  const guaranteedUploads = computeGuaranteedSlots(slots, RequestKind.Upload)
   const uploadsInUse = inUse[RequestKind.Upload]
   const reservedForUploads = waiting[RequestKind.Upload] > 0 ? Math.max(0, guaranteedUploads - uploadsInUse) : 0
   const maxUploads = waiting[RequestKind.Call] > 0 ? guaranteedUploads : slots - 1
--- a/packages/steering/src/common/limits/loans.ts
+++ b/packages/steering/src/common/limits/loans.ts
@@ -3,13 +3,13 @@
 import type { SlotShare } from './divideSlots.js'
 
 /** Maximum duration of a loan; a starting node waits this long for loans that its previous process granted. */
-export const LONGEST_LOAN_SPAN_MS = 60_000
+export const MAX_LOAN_MS = 60_000
 /**
  * Fraction by which a borrower shortens a loan, so that it ends there before it
  * ends on the lender's clock even if that clock runs faster. Real clock rates
  * differ by far less.
  */
-export const CLOCK_RATE_MARGIN = 0.001
+export const CLOCK_DRIFT_MARGIN_RATIO = 0.001
 
 /** A loan as recorded by the lender. */
 export interface LentLoan extends SlotShare {
@@ -25,7 +25,7 @@
 export interface BorrowedLoan extends SlotShare {
   readonly loanId: string
   /** `host:port` at which the lender listens for peers. */
-  readonly lender: string
+  readonly lenderAddress: string
   readonly lenderId: string
   readonly slotKey: string
   /** On the borrower's clock; requests that use the loan must have ended by then. */
@@ -37,7 +37,7 @@
 }
 
 /** The slot that a request uses: one of the node's own share or a borrowed one. */
-export interface TakenSlot {
+export interface AcquiredSlot {
   readonly slotKey: string
   /** Undefined for a slot of the node's own share. */
   readonly loan: BorrowedLoan | undefined
--- a/packages/steering/src/common/limits/placeLedger.ts
+++ b/packages/steering/src/common/limits/placeLedger.ts
@@ -7,7 +7,7 @@
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import type { LoanAnswer, LoanRequest, LoanReturn } from '../ports/peers.js'
 import type { SlotShare } from './divideSlots.js'
-import { type BorrowedLoan, LONGEST_LOAN_SPAN_MS, type LentLoan, type TakenSlot } from './loans.js'
+import { type BorrowedLoan, MAX_LOAN_MS, type LentLoan, type AcquiredSlot } from './loans.js'
 
 const EMPTY_SHARE: SlotShare = { slots: 0, connections: 0 }
 /**
@@ -30,7 +30,7 @@
    * @param shares shares by slot key
    * @param placeShare this node's share of the place's concurrency limit
    */
-  setParts (shares: ReadonlyMap<string, SlotShare>, placeShare: number): void {
+  setShares (shares: ReadonlyMap<string, SlotShare>, placeShare: number): void {
     this.ownShares = shares
     this.placeShare = placeShare
   }
@@ -85,7 +85,7 @@
    * @param until when the request must have ended
    * @returns the slot, to be passed to {@link PlaceLedger.release}; undefined if none is free until then
    */
-  take (slotKey: string, until: Deadline): TakenSlot | undefined {
+  acquire (slotKey: string, until: Deadline): AcquiredSlot | undefined {
     if (this.countOwnFree(slotKey) > 0) {
       this.ownInUse.set(slotKey, this.getOwnInUse(slotKey) + 1)
       return { slotKey, loan: undefined }
@@ -100,8 +100,8 @@
     return { slotKey, loan: best }
   }
 
-  /** @param slot a slot from {@link PlaceLedger.take}; must be released exactly once */
-  release (slot: TakenSlot): void {
+  /** @param slot a slot from {@link PlaceLedger.acquire}; must be released exactly once */
+  release (slot: AcquiredSlot): void {
     if (slot.loan !== undefined) {
       slot.loan.inUse--
       return
@@ -112,7 +112,7 @@
   }
 
   /** @returns the node's own slots in use or lent, by slot key; borrowed slots count at their lender */
-  listUse (): Map<string, number> {
+  listUsage (): Map<string, number> {
     const use = new Map(this.ownInUse)
     for (const loan of this.lent.values()) {
       if (!loan.isReturned) use.set(loan.slotKey, (use.get(loan.slotKey) ?? 0) + loan.slots)
@@ -129,11 +129,11 @@
    * @returns the loan; zero slots if none can be lent
    */
   lend (request: LoanRequest, now: Instant, reservedSlots: number): LoanAnswer {
-    this.removeEnded(now)
+    this.removeExpired(now)
     const id = buildLoanId(request)
     const existing = this.lent.get(id)
     if (existing !== undefined) return buildAnswer(request.loanId, existing)
-    const deadline = Math.min(request.deadline, createDeadline(now, LONGEST_LOAN_SPAN_MS))
+    const deadline = Math.min(request.deadline, createDeadline(now, MAX_LOAN_MS))
     const idle = Math.min(this.countOwnFree(request.workerId), Math.max(0, this.countAllOwnFree() - reservedSlots))
     const connections = Math.min(request.connections, this.countLendableConnections(request.workerId))
     const slots = Math.min(request.slots, idle, connections)
@@ -157,7 +157,7 @@
       existing.isReturned = true
       return
     }
-    const deadline = createDeadline(now, LONGEST_LOAN_SPAN_MS)
+    const deadline = createDeadline(now, MAX_LOAN_MS)
     this.lent.set(id, { borrowerId: loan.borrowerId, slotKey: '', ...EMPTY_SHARE, deadline, isReturned: true })
   }
 
@@ -181,7 +181,7 @@
    * @param now the current time
    * @returns whether any was removed
    */
-  removeEnded (now: Instant): boolean {
+  removeExpired (now: Instant): boolean {
     const before = this.lent.size + this.borrowed.size
     for (const [id, loan] of this.lent) {
       if (hasPassed(loan.deadline, now)) this.lent.delete(id)
--- a/packages/steering/src/common/limits/roster.ts
+++ b/packages/steering/src/common/limits/roster.ts
@@ -16,7 +16,7 @@
    * {@link RosterPolicy.maxListAgeMs}, the delay of the list and the longest
    * request together.
    */
-  readonly holdSpanMs: number
+  readonly removalGraceMs: number
   /** A node that has not confirmed its VM list for this long starts no request on its own share. */
   readonly maxListAgeMs: number
 }
@@ -41,7 +41,7 @@
 export function computeRosterPolicy (fleetSize: number): RosterPolicy {
   const scale = Math.max(1, fleetSize / MAX_SMALL_FLEET_VMS)
   const maxListAgeMs = Math.min(MAX_LIST_AGE_LIMIT_MS, Math.max(MIN_LIST_AGE_LIMIT_MS, BASE_LIST_AGE_LIMIT_MS * scale))
-  return { maxListAgeMs, holdSpanMs: maxListAgeMs + REMOVAL_GRACE_MARGIN_MS }
+  return { maxListAgeMs, removalGraceMs: maxListAgeMs + REMOVAL_GRACE_MARGIN_MS }
 }
 
 interface RosterMember {
@@ -95,7 +95,7 @@
       this.memberById.set(vm.vmId, { candidate, expiresAt: undefined })
     }
     for (const [nodeId, member] of this.memberById) {
-      if (!listed.has(nodeId)) member.expiresAt ??= createDeadline(now, this.policy.holdSpanMs)
+      if (!listed.has(nodeId)) member.expiresAt ??= createDeadline(now, this.policy.removalGraceMs)
     }
   }
 
@@ -112,15 +112,15 @@
    * @param removed VMs that are no longer on the list but keep their shares at a peer
    * @param now the current time, from which their grace period starts again
    */
-  holdGone (removed: readonly EntryCandidate[], now: Instant): void {
+  addRemoved (removed: readonly EntryCandidate[], now: Instant): void {
     for (const candidate of removed) {
       if (this.memberById.has(candidate.nodeId)) continue
-      this.memberById.set(candidate.nodeId, { candidate, expiresAt: createDeadline(now, this.policy.holdSpanMs) })
+      this.memberById.set(candidate.nodeId, { candidate, expiresAt: createDeadline(now, this.policy.removalGraceMs) })
     }
   }
 
   /** @returns VMs of all regions that are no longer on the list but keep their shares */
-  listGone (): EntryCandidate[] {
+  listRemoved (): EntryCandidate[] {
     return [...this.memberById.values()].filter(({ expiresAt }) => expiresAt !== undefined).map((member) => member.candidate)
   }
 
@@ -138,7 +138,7 @@
    * @param region a region
    * @returns its members, sorted by id
    */
-  list (region: string): EntryCandidate[] {
+  listMembers (region: string): EntryCandidate[] {
     const members = [...this.memberById.values()].map((member) => member.candidate).filter((candidate) => candidate.region === region)
     return members.sort((one, other) => one.nodeId < other.nodeId ? -1 : 1)
   }
@@ -152,7 +152,7 @@
    * @param now the current time
    * @returns whether it may
    */
-  mayUseParts (nodeId: string, now: Instant): boolean {
+  mayUseShares (nodeId: string, now: Instant): boolean {
     const member = this.memberById.get(nodeId)
     return member !== undefined && member.expiresAt === undefined && !hasPassed(this.confirmedUntil, now)
   }
--- a/packages/steering/src/common/limits/startBarrier.ts
+++ b/packages/steering/src/common/limits/startBarrier.ts
@@ -8,7 +8,7 @@
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, hasPassed } from '@umberspar/base/common/deadline'
-import { LONGEST_LOAN_SPAN_MS } from './loans.js'
+import { MAX_LOAN_MS } from './loans.js'
 
 /** The content of a peer's answer that concerns a starting node. */
 export interface PeerReport {
@@ -56,7 +56,7 @@
   step (listVersion: number, peers: readonly string[], now: Instant, removalGraceMs: number): void {
     if (listVersion >= 0) this.firstListVersion ??= listVersion
     const hasEveryPeerAnswered = this.firstListVersion !== undefined && peers.every((nodeId) => this.hasAnswered(nodeId))
-    const opensAt = createDeadline(this.startedAt, Math.max(LONGEST_LOAN_SPAN_MS, removalGraceMs))
+    const opensAt = createDeadline(this.startedAt, Math.max(MAX_LOAN_MS, removalGraceMs))
     if (hasEveryPeerAnswered || hasPassed(opensAt, now)) this.hasOpened = true
   }
 
--- a/packages/steering/src/common/limits/waitEstimate.ts
+++ b/packages/steering/src/common/limits/waitEstimate.ts
@@ -16,7 +16,7 @@
   /** Slots in use. */
   readonly inUse: ByKind
   /** Whether its kind has fewer slots than it is guaranteed, so that it also gets slots released by the other kind. */
-  readonly isOwed: boolean
+  readonly isBelowGuarantee: boolean
 }
 
 /** Moving averages of the time for which requests hold a slot, by kind. */
@@ -37,7 +37,7 @@
    * @param kind kind of requests
    * @returns the mean time for which they hold a slot, in milliseconds; 0 before the first sample
    */
-  getMeanSpanMs (kind: RequestKind): number {
+  getMeanHoldMs (kind: RequestKind): number {
     return this.meanByKind.get(kind) ?? 0
   }
 
@@ -47,7 +47,7 @@
    * @returns the expected time until enough slots are released, in milliseconds; Infinity if no slot that it could get is in use
    */
   estimateWaitMs (queue: QueueAhead): number {
-    const kinds = queue.isOwed ? Object.values(RequestKind) : [queue.kind]
+    const kinds = queue.isBelowGuarantee ? Object.values(RequestKind) : [queue.kind]
     const releasesPerMs = kinds.reduce((sum, kind) => sum + this.computeReleaseRate(kind, queue.inUse[kind]), 0)
     return releasesPerMs === 0 ? Infinity : (queue.ahead + 1) / releasesPerMs
   }
@@ -55,7 +55,7 @@
   /** Computes how many slots a kind releases in a millisecond; Infinity as long as there is no sample. */
   private computeReleaseRate (kind: RequestKind, inUse: number): number {
     if (inUse === 0) return 0
-    const meanMs = this.getMeanSpanMs(kind)
+    const meanMs = this.getMeanHoldMs(kind)
     return meanMs === 0 ? Infinity : inUse / meanMs
   }
 }
--- a/packages/steering/src/common/membership/believedList.ts
+++ b/packages/steering/src/common/membership/effectiveVmList.ts
@@ -25,7 +25,7 @@
 }
 
 /** The effective VM list. */
-export interface BelievedList {
+export interface EffectiveVmList {
   /** The version of the last accepted list of the platform; -1 before the first. */
   readonly version: number
   readonly vms: ReadonlyMap<string, EffectiveVm>
@@ -34,16 +34,16 @@
 }
 
 /** The effective list before the platform's first list. */
-export const EMPTY_BELIEVED_LIST: BelievedList = { version: -1, vms: new Map(), resetAt: undefined }
+export const EMPTY_EFFECTIVE_VM_LIST: EffectiveVmList = { version: -1, vms: new Map(), resetAt: undefined }
 
 /** The input of an update besides the platform's list. */
-export interface ListStepInput {
+export interface VmListUpdateInput {
   readonly now: Instant
   /** @returns whether the VM's daemon currently responds: reports of it have arrived, and it isn't suspected */
-  readonly isHeard: (vmId: string) => boolean
+  readonly isResponding: (vmId: string) => boolean
 }
 
-function mergeVms (effective: BelievedList, listed: ReadonlyMap<string, VmEntry>, input: ListStepInput): Map<string, EffectiveVm> {
+function mergeVms (effective: EffectiveVmList, listed: ReadonlyMap<string, VmEntry>, input: VmListUpdateInput): Map<string, EffectiveVm> {
   const missingIds = [...effective.vms.keys()].filter((vmId) => !listed.has(vmId))
   const holdMs = missingIds.length > effective.vms.size * SHRUNK_LIST_RATIO ? SHRUNK_LIST_HOLD_MS : MISSING_VM_HOLD_MS
   const vms = new Map<string, EffectiveVm>([...listed].map(([vmId, vm]) => [vmId, { vm, dropAt: undefined }]))
@@ -51,7 +51,7 @@
     const known = effective.vms.get(vmId)
     if (known === undefined) continue
     const dropAt = known.dropAt ?? createDeadline(input.now, holdMs)
-    if (!hasPassed(dropAt, input.now) || input.isHeard(vmId)) vms.set(vmId, { vm: known.vm, dropAt })
+    if (!hasPassed(dropAt, input.now) || input.isResponding(vmId)) vms.set(vmId, { vm: known.vm, dropAt })
   }
   return vms
 }
@@ -63,7 +63,7 @@
  * @param input the current time, and which daemons respond
  * @returns the updated effective list
  */
-export function stepBelievedList (effective: BelievedList, snapshot: VmListSnapshot, input: ListStepInput): BelievedList {
+export function updateEffectiveVmList (effective: EffectiveVmList, snapshot: VmListSnapshot, input: VmListUpdateInput): EffectiveVmList {
   // A stale replica would bring back VMs that are gone and hide new ones, so an older
   // version is ignored. A list whose version counter was reset would then be ignored
   // forever, so an older version is accepted after a delay.
--- a/packages/steering/src/common/membership/memberTable.ts
+++ b/packages/steering/src/common/membership/memberTable.ts
@@ -6,7 +6,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import { NodeState } from '../state/nodeState.js'
-import { computeRoundSpan, SMALL_FLEET } from '../spread/neighbours.js'
+import { computeRoundIntervalMs, MAX_SMALL_FLEET_VMS } from '../gossip/neighbours.js'
 import { compareReports, type MemberReport, mergeReports } from './memberReport.js'
 
 /** A node of a small fleet is suspected if no newer heartbeat arrives for this long. */
@@ -14,7 +14,7 @@
 /** In a larger fleet a ring neighbour is suspected after missing this many heartbeat rounds. */
 const MAX_MISSED_ROUNDS = 4
 /** Maximum number of reports relayed in one digest: those of all nodes in a small fleet, of some in a larger one. */
-export const MAX_RELAYED_REPORTS = SMALL_FLEET
+export const MAX_RELAYED_REPORTS = MAX_SMALL_FLEET_VMS
 /** How long a change is relayed in every digest. */
 const CHANGE_RELAY_MS = 3000
 /** The fraction of the other reports in one digest; several digests are sent within the suspect timeout, so that each report is relayed in time. */
@@ -50,9 +50,9 @@
    * @param nodeCount the number of entry VMs
    * @param ringNeighbours the nodes that this node exchanges digests with in every round
    */
-  updateSize (nodeCount: number, ringNeighbours: readonly string[]): void {
+  updateFleetSize (nodeCount: number, ringNeighbours: readonly string[]): void {
     this.ringNeighbours = new Set(ringNeighbours)
-    this.ringTimeoutMs = Math.max(SUSPECT_TIMEOUT_MS, MAX_MISSED_ROUNDS * computeRoundSpan(nodeCount))
+    this.ringTimeoutMs = Math.max(SUSPECT_TIMEOUT_MS, MAX_MISSED_ROUNDS * computeRoundIntervalMs(nodeCount))
     this.relayedTimeoutMs = this.ringTimeoutMs * Math.max(1, Math.ceil(nodeCount / MAX_RELAYED_REPORTS))
   }
 
@@ -115,7 +115,7 @@
    * @param now the current time
    * @returns the ids of the newly suspected nodes
    */
-  markSilent (now: Instant): string[] {
+  markSuspected (now: Instant): string[] {
     const marked: string[] = []
     for (const [nodeId, record] of this.records) {
       if (record.report.isSuspected || !hasPassed(record.suspectAt, now)) continue
@@ -130,7 +130,7 @@
    * @param isListed whether a node is on the effective VM list
    * @param now the current time
    */
-  removeGone (isListed: (nodeId: string) => boolean, now: Instant): void {
+  removeExpired (isListed: (nodeId: string) => boolean, now: Instant): void {
     for (const [nodeId, record] of this.records) {
       const isExpired = hasPassed(createDeadline(record.suspectAt, TIMEOUTS_UNTIL_EXPIRY * this.relayedTimeoutMs), now)
       if (isExpired && !isListed(nodeId)) this.records.delete(nodeId)
@@ -143,7 +143,7 @@
    * @param now the current time
    * @returns at most {@link MAX_RELAYED_REPORTS} reports
    */
-  listRelayed (now: Instant): MemberReport[] {
+  listReportsToRelay (now: Instant): MemberReport[] {
     const byChange = [...this.records.values()].sort((left, right) => right.changedAt - left.changedAt)
     const recentChanges = byChange.slice(0, MAX_RELAYED_REPORTS / 2).filter((record) => now - record.changedAt < CHANGE_RELAY_MS)
     const others = byChange.slice(recentChanges.length).sort((left, right) => left.report.nodeId < right.report.nodeId ? -1 : 1)
--- a/packages/steering/src/common/plan/measurements.ts
+++ b/packages/steering/src/common/plan/measurements.ts
@@ -20,7 +20,7 @@
 export interface PlanMember {
   readonly nodeId: string
   /** Whether it is live: its heartbeats arrive, and no peer suspects it. */
-  readonly isHeard: boolean
+  readonly isLive: boolean
 }
 
 /** Measurements by node, and the members whose measurements are expected. */
@@ -86,7 +86,7 @@
  * @returns whether a step may be based on them
  */
 export function hasFreshMeasurements (state: MeasurementState, requirement: MeasurementRequirement): boolean {
-  const liveMembers = state.members.filter((member) => member.isHeard)
+  const liveMembers = state.members.filter((member) => member.isLive)
   if (liveMembers.length * 2 <= state.members.length) return false
   return liveMembers.every(({ nodeId }) => {
     const known = state.byNode.get(nodeId)
--- a/packages/steering/src/common/plan/nodePlan.ts
+++ b/packages/steering/src/common/plan/nodePlan.ts
@@ -8,7 +8,7 @@
 import { createDeadline, type Deadline, hasPassed } from '@umberspar/base/common/deadline'
 import type { SteeringConfiguration } from '../configuration/configurationSchema.js'
 import { computeDemand, hasFreshMeasurements, type MeasurementState } from './measurements.js'
-import { listFailed, listFailingDomains } from './placeFailures.js'
+import { listFailedDomains, listFailingDomains } from './placeFailures.js'
 import type { PlanDocument } from './planDocument.js'
 import { stepRegionWithinBounds } from './regionStep.js'
 import type { DomainWeights, Weights } from './servicePlan.js'
@@ -77,7 +77,7 @@
 export function stepNodeService (state: NodeService, input: NodeStepInput, now: Instant): NodeService {
   const { settleMs } = input.configuration.shiftCaps
   if (!hasPassed(createDeadline(state.steppedAt, settleMs), now)) return state
-  const failed = listFailed(input.failedUntil, input.service, now)
+  const failed = listFailedDomains(input.failedUntil, input.service, now)
   const { agreed } = state
   const isAgreedPlanOnFailed = agreed === undefined || hasWeightOn(agreed.weights, failed)
   // The node leaves only places that are failing now. The recovery delay keeps it from
@@ -139,6 +139,6 @@
  * @param state the state of the service at this node
  * @returns whether the agreed plan is in force at this node; true without an agreed plan
  */
-export function isAtPlan (state: NodeService): boolean {
+export function hasReachedAgreedPlan (state: NodeService): boolean {
   return state.agreed === undefined || state.inForceVersion === state.agreed.version
 }
--- a/packages/steering/src/common/plan/placeFailures.ts
+++ b/packages/steering/src/common/plan/placeFailures.ts
@@ -47,7 +47,7 @@
  * @param now the current time
  * @returns failure domains that plans must not use: those that are failing and those that are not yet recovered
  */
-export function listFailed (failures: ReadonlyMap<string, Deadline>, service: string, now: Instant): Set<string> {
+export function listFailedDomains (failures: ReadonlyMap<string, Deadline>, service: string, now: Instant): Set<string> {
   const prefix = getPlaceKey(service, '')
   const failed = new Set<string>()
   for (const [key, until] of failures) {
--- a/packages/steering/src/common/plan/planner.ts
+++ b/packages/steering/src/common/plan/planner.ts
@@ -7,7 +7,7 @@
 import { createDeadline, hasPassed } from '@umberspar/base/common/deadline'
 import { type SteeringConfiguration, StaleRule } from '../configuration/configurationSchema.js'
 import { addMeasurement, hasFreshMeasurements, setMembers, computeDemand } from './measurements.js'
-import { getPlaceKey, listFailed, updateFailures } from './placeFailures.js'
+import { getPlaceKey, listFailedDomains, updateFailures } from './placeFailures.js'
 import { computeLinkLoads, type ServiceLoad } from './placeLoad.js'
 import type { LinkLoads } from './placement.js'
 import type { PlanDocument } from './planDocument.js'
@@ -102,9 +102,9 @@
     next = step.state
     effects.push(...step.effects)
   }
-  const hasMeasureEffect = effects.some((effect) => effect.kind === PlannerEffectKind.Measure)
-  const otherEffects = effects.filter((effect) => effect.kind !== PlannerEffectKind.Measure)
-  return { state: next, effects: hasMeasureEffect ? [...otherEffects, { kind: PlannerEffectKind.Measure }] : otherEffects }
+  const hasMeasureEffect = effects.some((effect) => effect.kind === PlannerEffectKind.AskForMeasurements)
+  const otherEffects = effects.filter((effect) => effect.kind !== PlannerEffectKind.AskForMeasurements)
+  return { state: next, effects: hasMeasureEffect ? [...otherEffects, { kind: PlannerEffectKind.AskForMeasurements }] : otherEffects }
 }
 
 function decideService (state: PlannerState, service: string, now: Instant): PlannerStep {
@@ -112,7 +112,7 @@
   if (configuration === undefined || lease === undefined || state.pending.has(service)) return createStep(state)
   const known = state.plans.get(service)
   if (known === undefined) {
-    const weights = computeTargetPlan(configuration.body, service, listFailed(state.failedUntil, service, now)).weights
+    const weights = computeTargetPlan(configuration.body, service, listFailedDomains(state.failedUntil, service, now)).weights
     return writeStep(state, service, { weights, isEmergency: false, isMoving: false, now })
   }
   const isSettledUnderConfiguration = known.verdict === StepVerdict.Settled && known.checkedConfigurationVersion === configuration.version
@@ -131,7 +131,7 @@
 /** Asks for missing measurements before a move has settled, so that the next step doesn't have to wait for them. */
 function askForMeasurements (state: PlannerState, known: KnownPlan, body: SteeringConfiguration, now: Instant): PlannerStep {
   const isDue = hasPassed(computeMeasurementRequestTime(known.seenAt, body.shiftCaps.settleMs), now)
-  return { state, effects: known.isMoving && isDue ? [{ kind: PlannerEffectKind.Measure }] : [] }
+  return { state, effects: known.isMoving && isDue ? [{ kind: PlannerEffectKind.AskForMeasurements }] : [] }
 }
 
 function recordVerdict (state: PlannerState, service: string, step: ServiceStep, now: Instant): PlannerState {
@@ -167,7 +167,7 @@
   }
   const mayNeedStep = known.isMoving || decideServiceStep(input).verdict !== StepVerdict.Settled
   if (!mayNeedStep) return createStep(state)
-  return { state, effects: [{ kind: PlannerEffectKind.Measure }] }
+  return { state, effects: [{ kind: PlannerEffectKind.AskForMeasurements }] }
 }
 
 function buildStepInput (state: PlannerState, known: KnownPlan, body: SteeringConfiguration, now: Instant): ServiceStepInput {
@@ -184,7 +184,7 @@
     current: weights,
     demand: computeDemand(state.measurements, service),
     otherLinkLoads: computeOtherLinkLoads(state, service, body),
-    failed: listFailed(state.failedUntil, service, now),
+    failed: listFailedDomains(state.failedUntil, service, now),
     warmingForMs,
     utilization,
     isMoving: known.isMoving
--- a/packages/steering/src/common/plan/plannerState.ts
+++ b/packages/steering/src/common/plan/plannerState.ts
@@ -55,14 +55,14 @@
   WritePlan = 'write-plan',
   ReadPlan = 'read-plan',
   /** Ask peers for measurements without waiting for their next heartbeats. */
-  Measure = 'measure'
+  AskForMeasurements = 'measure'
 }
 
 /** An effect of the planner. */
 export type PlannerEffect =
   | { readonly kind: PlannerEffectKind.WritePlan, readonly document: PlanDocument }
   | { readonly kind: PlannerEffectKind.ReadPlan, readonly service: string }
-  | { readonly kind: PlannerEffectKind.Measure }
+  | { readonly kind: PlannerEffectKind.AskForMeasurements }
 
 /** The lease that permits this node to write plans. */
 export interface PlannerLease {
@@ -113,7 +113,7 @@
 }
 
 /** The state of a planner that has received no events. */
-export const INITIAL_PLANNER: PlannerState = {
+export const INITIAL_PLANNER_STATE: PlannerState = {
   configuration: undefined,
   measurements: NO_MEASUREMENTS,
   lease: undefined,
--- a/packages/steering/src/common/plan/predictDrain.ts
+++ b/packages/steering/src/common/plan/predictDrain.ts
@@ -9,7 +9,7 @@
 import { computeRegionCapacities } from './placeCapacity.js'
 import type { Demand, Weights } from './servicePlan.js'
 import { findUnplacedDemand } from './servicePlan.js'
-import { decideServiceStep, listForbidden, type ServiceStep, StepVerdict } from './serviceStep.js'
+import { decideServiceStep, listUnusableDomains, type ServiceStep, StepVerdict } from './serviceStep.js'
 
 /** The input of a prediction. */
 export interface DrainPredictionInput {
@@ -82,7 +82,7 @@
  * @param input configuration and demand
  * @returns every service whose demand would exceed the capacity; empty if all demand fits
  */
-export function findMisfits (input: DrainPredictionInput): CapacityShortfall[] {
+export function findCapacityShortfalls (input: DrainPredictionInput): CapacityShortfall[] {
   const { configuration } = input
   return Object.keys(configuration.services).flatMap((service) => {
     const demand = input.demand[service] ?? {}
@@ -152,7 +152,7 @@
     }
     if (!isMoving) break
   }
-  const reasons = findMisfits(input)
+  const reasons = findCapacityShortfalls(input)
   const totalMs = steps.length === 0 ? 0 : (steps.at(-1)?.afterMs ?? 0) + settleMs
   return { fits: reasons.length === 0, reasons, steps, places: listPlaces(input, simulatedServices), totalMs }
 }
@@ -169,7 +169,7 @@
     const demand = input.demand[service] ?? {}
     const before = computeDomainLoads(input.weights[service] ?? {}, demand)
     const after = computeDomainLoads(weights, demand)
-    const unusableDomains = listForbidden({ configuration, service, failed: input.failed[service] ?? new Set() })
+    const unusableDomains = listUnusableDomains({ configuration, service, failed: input.failed[service] ?? new Set() })
     return domains.filter((domain) => configuration.services[service]?.places[domain] !== undefined).map((failureDomain) => {
       const capacity = unusableDomains.has(failureDomain) ? 0 : findPlaceCapacity(configuration, service, failureDomain)
       const loadAfter = after.get(failureDomain) ?? 0
--- a/packages/steering/src/common/plan/serviceStep.ts
+++ b/packages/steering/src/common/plan/serviceStep.ts
@@ -63,7 +63,7 @@
  * @param input configuration and failures
  * @returns failure domains that the service must not use: failed or drained
  */
-export function listForbidden (input: Pick<ServiceStepInput, 'configuration' | 'service' | 'failed'>): Set<string> {
+export function listUnusableDomains (input: Pick<ServiceStepInput, 'configuration' | 'service' | 'failed'>): Set<string> {
   const { configuration, service, failed } = input
   const unusableDomains = new Set(failed)
   for (const [domain, region] of mapDomainsToRegions(configuration)) {
@@ -193,7 +193,7 @@
 export function decideServiceStep (input: ServiceStepInput): ServiceStep {
   const { configuration, current, failed } = input
   const target = computeTargetWeights(input)
-  const unusableDomains = listForbidden(input)
+  const unusableDomains = listUnusableDomains(input)
   const isEmergency = hasWeightOn(current, failed)
   const unmovedStep = { weights: current, target, shift: 0, isEmergency }
   if (!shouldMove(input, target, unusableDomains)) return { ...unmovedStep, verdict: StepVerdict.Settled }
--- a/packages/steering/src/common/plan/stepTiming.ts
+++ b/packages/steering/src/common/plan/stepTiming.ts
@@ -27,7 +27,7 @@
  * @param settleMs the configured settle time
  * @returns when the node reports its measurement to the lease holder
  */
-export function computeReportAt (inForceAt: Instant, settleMs: number): Deadline {
+export function computeMeasurementReportTime (inForceAt: Instant, settleMs: number): Deadline {
   return createDeadline(inForceAt, settleMs * REPORT_DELAY_RATIO)
 }
 
@@ -45,7 +45,7 @@
  * @param now the current time
  * @returns when the settle time of the next moving service ends; undefined if no service is settling
  */
-export function findNextSettled (state: PlannerState, now: Instant): Deadline | undefined {
+export function findNextSettleTime (state: PlannerState, now: Instant): Deadline | undefined {
   const settleMs = state.configuration?.body.shiftCaps.settleMs ?? 0
   const settleTimes = [...state.plans.values()]
     .filter((plan) => plan.isMoving)
@@ -59,7 +59,7 @@
  * @param now the current time
  * @returns whether the settle time of a moving service has ended, so that its next step needs only fresh measurements
  */
-export function isAwaitingReports (state: PlannerState, now: Instant): boolean {
+export function isAwaitingMeasurements (state: PlannerState, now: Instant): boolean {
   const settleMs = state.configuration?.body.shiftCaps.settleMs ?? 0
   return [...state.plans.values()].some((plan) => plan.isMoving && hasPassed(createDeadline(plan.seenAt, settleMs), now))
 }
--- a/packages/steering/src/common/ports/callerProtocol.ts
+++ b/packages/steering/src/common/ports/callerProtocol.ts
@@ -10,7 +10,7 @@
   /** Milliseconds until the caller's deadline. */
   readonly deadlineMs: string
   /** The cookie whose value identifies the object that a request is about; requests with the same value have affinity to one worker. */
-  readonly keyCookie: string
+  readonly affinityCookie: string
   /** Set by workers on their responses; a successful response without it is invalid. */
   readonly seal: string
   /** The id of the only worker that may run the request. */
@@ -33,7 +33,7 @@
 }
 
 /** The response to a look-up. */
-export interface LookupAnswer {
+export interface LookupResponse {
   /** The addresses of entry VMs, as `host:port`. */
   readonly addresses: readonly string[]
   /** How long the response may be cached, in milliseconds. */
@@ -48,12 +48,12 @@
   /** The path of look-ups. */
   readonly lookupPath: string
   /** The HTTP status of a worker that is not the one in the {@link HeaderNames.expectedWorker} field. */
-  readonly otherWorkerStatus: number
+  readonly misdirectedRequestStatus: number
   /**
    * @param query the parameters of the look-up's URL
    * @returns the parsed look-up, or undefined if it is malformed
    */
   parseLookup(query: URLSearchParams): LookupQuery | undefined
   /** @returns the body of the response as JSON */
-  formatLookup(response: LookupAnswer): string
+  formatLookup(response: LookupResponse): string
 }
--- a/packages/steering/src/common/ports/keyValueStore.ts
+++ b/packages/steering/src/common/ports/keyValueStore.ts
@@ -61,9 +61,9 @@
 }
 
 /** Why a watch ended without being closed by its owner. */
-export enum WatchEnd {
+export enum WatchEndReason {
   /** The connection was lost; a new watch from the next revision misses no changes. */
-  Cut = 'cut',
+  Disconnected = 'cut',
   /** The store has discarded revisions that the watch needs; the owner must read all values again before it starts a new watch. */
   Compacted = 'compacted'
 }
@@ -71,7 +71,7 @@
 /** A running watch; it does not restart by itself, its owner has to handle {@link IStoreWatch.onDidEnd}. */
 export interface IStoreWatch extends IClosable {
   readonly onDidChange: Event<StoreChange>
-  readonly onDidEnd: Event<WatchEnd>
+  readonly onDidEnd: Event<WatchEndReason>
 }
 
 /**
@@ -86,11 +86,11 @@
   /** Applies writes if conditions hold. */
   transact(transaction: StoreTransaction, deadline: Deadline): Promise<Result<TransactionResult, StepError>>
   /** Acquires a lease that expires unless it is renewed within `ttlSeconds`. */
-  openLease(ttlSeconds: number, deadline: Deadline): Promise<Result<GrantedLease, StepError>>
+  acquireLease(ttlSeconds: number, deadline: Deadline): Promise<Result<GrantedLease, StepError>>
   /** Renews a lease; fails with `NotFound` if it has expired. */
   renewLease(leaseId: string, deadline: Deadline): Promise<Result<GrantedLease, StepError>>
   /** Releases a lease; its keys are deleted immediately. */
-  closeLease(leaseId: string, deadline: Deadline): Promise<Result<void, StepError>>
+  releaseLease(leaseId: string, deadline: Deadline): Promise<Result<void, StepError>>
   /** Watches all keys with a prefix, starting with the changes of `fromRevision`. */
   watch(prefix: string, fromRevision: number): IStoreWatch
 }
--- a/packages/steering/src/common/ports/peers.ts
+++ b/packages/steering/src/common/ports/peers.ts
@@ -6,7 +6,7 @@
 import type { Result } from '@umberspar/base/common/result'
 import type { AnnouncedState, DemandReport, DocumentVersion } from '../membership/memberFacts.js'
 import type { MemberReport } from '../membership/memberReport.js'
-import type { PushRoute } from '../spread/pushTree.js'
+import type { PushRoute } from '../gossip/pushTree.js'
 
 /** A complete document. */
 export interface PeerDocument {
@@ -35,7 +35,7 @@
 }
 
 /** A heartbeat: a node's state, the versions of its documents, and what it knows about workers and other nodes. */
-export interface Digest {
+export interface Heartbeat {
   readonly nodeId: string
   readonly state: AnnouncedState
   /** Increases with every start of the node. */
@@ -86,7 +86,7 @@
 /** The calls that a node serves for its peers. If a method throws a StepError, the caller receives its code. */
 export interface IPeerService {
   /** @returns this node's heartbeat */
-  exchange(heartbeat: Digest): Digest
+  exchange(heartbeat: Heartbeat): Heartbeat
   /** @returns the document if this node has a version higher than `aboveVersion`, otherwise undefined */
   fetch(name: string, aboveVersion: number): PeerDocument | undefined
   /** @returns this node's version of the document afterwards */
@@ -101,7 +101,7 @@
  * to a push, a loan request or the return of a loan was lost.
  */
 export interface IPeerClient extends IClosable {
-  exchange(address: string, heartbeat: Digest, deadline: Deadline): Promise<Result<Digest, StepError>>
+  exchange(address: string, heartbeat: Heartbeat, deadline: Deadline): Promise<Result<Heartbeat, StepError>>
   /** @returns undefined if the peer has no higher version */
   fetch(address: string, name: string, aboveVersion: number, deadline: Deadline): Promise<Result<PeerDocument | undefined, StepError>>
   push(address: string, document: PeerDocument, deadline: Deadline): Promise<Result<number, StepError>>
--- a/packages/steering/src/common/ports/steeringSource.ts
+++ b/packages/steering/src/common/ports/steeringSource.ts
@@ -3,26 +3,26 @@
 import type { IClosable } from '@umberspar/base/common/closing'
 import type { StepError } from '@umberspar/base/common/errors'
 import type { Result } from '@umberspar/base/common/result'
-import type { RevisionReading } from '../entry/recordProof.js'
-import type { EntryNode, RecordChanges, RecordSnapshot, ShareKeeper } from '../entry/records.js'
+import type { RevisionReading } from '../entry/freshnessProof.js'
+import type { EntryNode, RecordChanges, RecordSnapshot, ShareOwner } from '../entry/records.js'
 import type { CrashReports, Quarantine } from '../quarantine/crashReport.js'
 
 /** Receives the records and their changes. */
-export interface SteeringListener {
+export interface SteeringSourceListener {
   /** @returns the revision up to which all changes are known, from any source */
   getRevision(): number
   onSnapshot(snapshot: RecordSnapshot): void
   onChanges(changes: RecordChanges): void
   /** Called with the store's current revision after it was requested. */
-  onReading(reading: RevisionReading): void
+  onRevisionRead(reading: RevisionReading): void
   /**
    * Called when the source has become unavailable.
    * @param reason a short description of the cause
    * @param since when the source last responded
    */
-  onLost(reason: string, since: Instant): void
+  onStoreLost(reason: string, since: Instant): void
   /** Called when the source is available again. */
-  onRegained(): void
+  onStoreRecovered(): void
 }
 
 /** Reads the records, and watches for changes while this is enabled, until it is closed. */
@@ -32,15 +32,15 @@
    * current; the others may be seconds old, and the changes that follow bring them up to date.
    * @param listener receives the records and their changes from now on
    */
-  start(listener: SteeringListener): void
+  start(listener: SteeringSourceListener): void
   /** Reads all records once more, for a VM that does not watch for changes. */
-  readAgain(): void
+  readSnapshot(): void
   /** @param isWatching whether to watch for changes from now on, and to request the store's revision periodically */
   setWatching(isWatching: boolean): void
 }
 
 /** The lease of this VM's registration; until it ends, what the VM has claimed cannot be taken over by another VM. */
-export interface Tenure {
+export interface RegistrationLease {
   /** Claims that were made under a different id are no longer valid. */
   readonly id: number
   readonly until: Instant
@@ -59,14 +59,14 @@
    * Until when this VM's claims are certain to last, by the clock that includes the
    * time in which the machine is suspended; undefined while the VM is not registered.
    */
-  readonly tenure: Tenure | undefined
+  readonly currentLease: RegistrationLease | undefined
   /**
    * Claims a share of the quotas for as long as this VM's record exists.
    * @param owner the share and the description of this VM
    * @param expectedRevision the revision of the claim to replace; 0 if there must be none
    * @returns the id of the lease under which the share is claimed, a Conflict if another VM claimed it first, or another error
    */
-  claimShare(owner: ShareKeeper, expectedRevision: number): Promise<Result<number, StepError>>
+  claimShare(owner: ShareOwner, expectedRevision: number): Promise<Result<number, StepError>>
   /** Removes the record, so that look-ups on other VMs exclude this VM immediately. */
   withdraw(): void
 }
--- a/packages/steering/src/common/quarantine/suspectTable.ts
+++ b/packages/steering/src/common/quarantine/suspectTable.ts
@@ -137,7 +137,7 @@
    * @param now the current time
    * @returns whether the confirmed crashes suffice to quarantine the request
    */
-  isEvident (digest: string, now: Instant): boolean {
+  hasConfirmedEvidence (digest: string, now: Instant): boolean {
     return this.hasEvidence(digest, now, ReportState.Confirmed)
   }
 
--- a/packages/steering/src/common/quota/quotaBudget.ts
+++ b/packages/steering/src/common/quota/bucketParameters.ts
@@ -31,7 +31,7 @@
   /** Requests in the bucket of a new owner, which doesn't know what the previous owner granted. */
   readonly initialTokens: number
   /** How long a VM may hold granted tokens before a request uses them, in milliseconds. */
-  readonly stockMs: number
+  readonly maxTokenAgeMs: number
 }
 
 /** The largest fraction of the tolerated excess for tokens that VMs hold in advance, so that one message serves several requests. */
@@ -57,7 +57,7 @@
   const requestsPerWindow = ratePerSecond / MS_PER_SECOND * windowMs + burst
   const refillPerMs = requestsPerWindow / windowMs
   const toleratedExcess = requestsPerWindow * over + slack
-  const stockMs = Math.min(MAX_TOKEN_AGE_MS, toleratedExcess * MAX_POOLED_TOLERANCE_RATIO / refillPerMs)
-  const remainingExcess = toleratedExcess - refillPerMs * stockMs
-  return { refillPerMs: refillPerMs / shareCount, capacity: remainingExcess * CAPACITY_TOLERANCE_RATIO / shareCount, initialTokens: remainingExcess * INITIAL_TOLERANCE_RATIO / shareCount, stockMs }
+  const maxTokenAgeMs = Math.min(MAX_TOKEN_AGE_MS, toleratedExcess * MAX_POOLED_TOLERANCE_RATIO / refillPerMs)
+  const remainingExcess = toleratedExcess - refillPerMs * maxTokenAgeMs
+  return { refillPerMs: refillPerMs / shareCount, capacity: remainingExcess * CAPACITY_TOLERANCE_RATIO / shareCount, initialTokens: remainingExcess * INITIAL_TOLERANCE_RATIO / shareCount, maxTokenAgeMs }
 }
--- a/packages/steering/src/common/quota/quotaBucket.ts
+++ b/packages/steering/src/common/quota/quotaBucket.ts
@@ -1,6 +1,6 @@
 /** The token bucket of one account in one quota share: limits how many requests the share's owner may grant. */
 import type { Instant } from '@umberspar/base/common/clock'
-import type { QuotaBucketParameters } from './quotaBudget.js'
+import type { QuotaBucketParameters } from './bucketParameters.js'
 
 export class QuotaBucket {
   private tokens: number
--- a/packages/steering/src/common/quota/quotaBuckets.ts
+++ b/packages/steering/src/common/quota/quotaBucketTable.ts
@@ -1,7 +1,7 @@
 /** The token buckets of one VM: one for each account in each quota share that the VM owns. */
 import type { Instant } from '@umberspar/base/common/clock'
 import type { AccountPolicy } from '../entry/steeringDocument.js'
-import { computeBucketParameters, type QuotaBucketParameters, type QuotaTolerance } from './quotaBudget.js'
+import { computeBucketParameters, type QuotaBucketParameters, type QuotaTolerance } from './bucketParameters.js'
 import { QuotaBucket } from './quotaBucket.js'
 import { listAccountShares, type RegionByDomain } from './quotaShares.js'
 
@@ -25,7 +25,7 @@
   readonly knownSince: Instant
 }
 
-export class QuotaBuckets {
+export class QuotaBucketTable {
   private readonly ownedShares = new Map<string, OwnedShare>()
   private accounts = new Map<string, LimitedAccount>()
 
@@ -74,7 +74,7 @@
    * @param account an account's name
    * @returns the parameters of its bucket in each share; undefined if it has no quota or is unknown
    */
-  readPart (account: string): QuotaBucketParameters | undefined {
+  getBucketParameters (account: string): QuotaBucketParameters | undefined {
     return this.accounts.get(account)?.parameters
   }
 
@@ -96,7 +96,7 @@
 
   private updateBuckets (buckets: Map<string, QuotaBucket>, now: Instant): void {
     for (const [name, bucket] of buckets) {
-      const parameters = this.readPart(name)
+      const parameters = this.getBucketParameters(name)
       if (parameters === undefined) buckets.delete(name)
       else bucket.setParameters(parameters, now)
     }
--- a/packages/steering/src/common/quota/quotaShares.ts
+++ b/packages/steering/src/common/quota/quotaShares.ts
@@ -59,7 +59,7 @@
  * @param regionByDomain the regions of all failure domains
  * @returns the groups that aren't empty, the nearest first
  */
-export function splitByNearness (shares: readonly QuotaShare[], domain: string, regionByDomain: RegionByDomain): QuotaShare[][] {
+export function splitByDistance (shares: readonly QuotaShare[], domain: string, regionByDomain: RegionByDomain): QuotaShare[][] {
   const isInDomain = (share: QuotaShare): boolean => share.domain === domain
   const isInRegion = (share: QuotaShare): boolean => regionByDomain.get(share.domain) === regionByDomain.get(domain)
   const groups = [
--- a/packages/steering/src/common/quota/quotaStock.ts
+++ b/packages/steering/src/common/quota/quotaTokenPool.ts
@@ -15,7 +15,7 @@
 }
 
 /** The unused tokens of one account. */
-export class QuotaStock {
+export class QuotaTokenPool {
   private tokens: QuotaToken[] = []
   private readonly unusedByShare = new Map<string, number>()
 
--- a/packages/steering/src/common/quota/takeRate.ts
+++ b/packages/steering/src/common/quota/requestRate.ts
@@ -5,7 +5,7 @@
 const AVERAGING_WINDOW_MS = 2_000
 
 /** A request rate with exponential decay. */
-export class TakeRate {
+export class RequestRate {
   private count = 0
   private updatedAt: Instant = 0
 
--- a/packages/steering/src/common/rateLimits/rateAllowance.ts
+++ b/packages/steering/src/common/rateLimits/rateAllowance.ts
@@ -3,7 +3,7 @@
  * Every VM computes the same division, in proportion to the requests that each VM is expected
  * to send to the worker, so that the sum stays within the limit without communication.
  */
-import { divideByWeight } from './apportion.js'
+import { divideByWeight } from './divideByWeight.js'
 
 /** Limits hold in every window of this length; limits that allow less than one request in it get a longer window. */
 const MIN_WINDOW_MS = 4_000
@@ -39,9 +39,9 @@
 export interface RateAllowance {
   readonly windowMs: number
   /** The VM's part of the worker's limit, in requests. */
-  readonly named: number
-  /** The VM's part of the limit with the tolerated excess, in requests; at least {@link RateAllowance.named}. */
-  readonly tolerated: number
+  readonly maxRequests: number
+  /** The VM's part of the limit with the tolerated excess, in requests; at least {@link RateAllowance.maxRequests}. */
+  readonly maxToleratedRequests: number
   /** For a VM whose part is 0: the interval between probe requests, in milliseconds. */
   readonly probeIntervalMs: number
 }
@@ -71,5 +71,5 @@
   const excessParts = divideByWeight(excess, recipients, `${workerId}/excess`)
   const nodesWithoutPart = [...requestParts.values()].filter((part) => part === 0).length
   const probeIntervalMs = Math.min(MAX_PROBE_INTERVAL_MS, Math.max(MIN_PROBE_INTERVAL_MS, nodesWithoutPart * MS_PER_SECOND / (Math.max(MIN_PROBED_LIMIT_PER_SECOND, perSecond) * MAX_PROBE_RATIO)))
-  return new Map([...requestParts].map(([name, part]): [string, RateAllowance] => [name, { windowMs, named: part, tolerated: part + excessParts.get(name)!, probeIntervalMs }]))
+  return new Map([...requestParts].map(([name, part]): [string, RateAllowance] => [name, { windowMs, maxRequests: part, maxToleratedRequests: part + excessParts.get(name)!, probeIntervalMs }]))
 }
--- a/packages/steering/src/common/rateLimits/sendMeter.ts
+++ b/packages/steering/src/common/rateLimits/slidingWindowCounter.ts
@@ -2,7 +2,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 
 /** The times at which this VM sent requests to one worker; kept as long as the longest window asked for. */
-export class SendMeter {
+export class SlidingWindowCounter {
   private sentAt: Instant[] = []
   private retentionMs = 0
 
@@ -29,7 +29,7 @@
    * @param now the current time
    * @returns the earliest time for the next request: `now` if it may be sent at once, Infinity if `maxRequests` is 0
    */
-  getFreeAt (maxRequests: number, spanMs: number, now: Instant): Instant {
+  getNextAllowedAt (maxRequests: number, spanMs: number, now: Instant): Instant {
     this.retentionMs = Math.max(this.retentionMs, spanMs)
     if (maxRequests <= 0) return Infinity
     const oldestCounted = this.sentAt.at(-maxRequests)
--- a/packages/steering/src/common/request/flowTypes.ts
+++ b/packages/steering/src/common/request/flowTypes.ts
@@ -67,18 +67,18 @@
 }
 
 /** Inputs of a step besides the state and the event, read again for every step. */
-export interface FlowView {
+export interface FlowContext {
   readonly now: Instant
   /** A random number from 0 (inclusive) to 1 (exclusive). */
   readonly jitter: number
   /** Whether the service's retry budget has a token left. */
-  readonly hasToken: boolean
+  readonly hasRetryToken: boolean
   /** Milliseconds to wait for the first attempt before sending a hedge; undefined if unknown. */
-  readonly hedgeSpan: number | undefined
+  readonly hedgeDelay: number | undefined
   /** Whether another attempt can send the complete body after the current one has ended. */
-  readonly isBodyWhole: boolean
+  readonly isBodyReplayable: boolean
   /** Whether the body is held in memory, so that two attempts can send it concurrently. */
-  readonly isBodyShared: boolean
+  readonly isBodyBuffered: boolean
 }
 
 /** Kinds of events that advance a request. */
@@ -87,7 +87,7 @@
   SlotGranted = 'slot-granted',
   SlotRefused = 'slot-refused',
   AttemptFailed = 'attempt-failed',
-  AnswerBegan = 'answer-began',
+  ResponseStarted = 'answer-began',
   TimerDue = 'timer-due',
   CallerLeft = 'caller-left'
 }
@@ -98,7 +98,7 @@
   | { readonly kind: FlowEventKind.SlotGranted, readonly attemptId: number, readonly workerId: string, readonly failureDomain: string }
   | { readonly kind: FlowEventKind.SlotRefused, readonly attemptId: number }
   | { readonly kind: FlowEventKind.AttemptFailed, readonly attemptId: number, readonly outcome: Outcome }
-  | { readonly kind: FlowEventKind.AnswerBegan, readonly attemptId: number }
+  | { readonly kind: FlowEventKind.ResponseStarted, readonly attemptId: number }
   | { readonly kind: FlowEventKind.TimerDue, readonly timer: FlowTimer }
   | { readonly kind: FlowEventKind.CallerLeft }
 
@@ -107,35 +107,35 @@
   AcquireSlot = 'acquire-slot',
   /** Release a slot on which nothing was sent. */
   ReleaseSlot = 'release-slot',
-  Send = 'send',
+  SendAttempt = 'send',
   /** Cancel an attempt, whether it is waiting for a slot, has been sent or is already responding. */
   CancelAttempt = 'cancel-attempt',
   StartTimer = 'start-timer',
   StopTimer = 'stop-timer',
-  RecordFirst = 'record-first',
-  SpendToken = 'spend-token',
+  RecordFirstAttempt = 'record-first',
+  ConsumeRetryToken = 'spend-token',
   /** Forward an attempt's response to the caller. */
-  Answer = 'answer',
+  ForwardResponse = 'answer',
   /** End the request immediately with an error instead of an upstream's response. */
   Refuse = 'refuse'
 }
 
 /** Which failure domains and workers are preferred for an attempt. */
-export interface PlaceWish {
+export interface PlacementPreference {
   /** The failure domain to try first; undefined to follow the traffic plan. */
-  readonly preferred: string | undefined
+  readonly preferredDomain: string | undefined
   /** Failure domains that are used only if no other one has a free slot. */
-  readonly avoided: ReadonlySet<string>
+  readonly avoidedDomains: ReadonlySet<string>
   readonly excludedWorkers: ReadonlySet<string>
 }
 
 /** An action that the caller of the state machine has to carry out. */
 export type FlowEffect =
-  | { readonly kind: FlowEffectKind.AcquireSlot, readonly attemptId: number, readonly purpose: AttemptPurpose, readonly wish: PlaceWish }
-  | { readonly kind: FlowEffectKind.ReleaseSlot | FlowEffectKind.Send | FlowEffectKind.CancelAttempt | FlowEffectKind.Answer, readonly attemptId: number }
+  | { readonly kind: FlowEffectKind.AcquireSlot, readonly attemptId: number, readonly purpose: AttemptPurpose, readonly preference: PlacementPreference }
+  | { readonly kind: FlowEffectKind.ReleaseSlot | FlowEffectKind.SendAttempt | FlowEffectKind.CancelAttempt | FlowEffectKind.ForwardResponse, readonly attemptId: number }
   | { readonly kind: FlowEffectKind.StartTimer, readonly timer: FlowTimer, readonly at: Instant }
   | { readonly kind: FlowEffectKind.StopTimer, readonly timer: FlowTimer }
-  | { readonly kind: FlowEffectKind.RecordFirst | FlowEffectKind.SpendToken }
+  | { readonly kind: FlowEffectKind.RecordFirstAttempt | FlowEffectKind.ConsumeRetryToken }
   | { readonly kind: FlowEffectKind.Refuse, readonly outcome: Outcome.NotRun | Outcome.Unknown }
 
 /** The new state and the effects to carry out, in order. */
--- a/packages/steering/src/common/request/latencyEstimate.ts
+++ b/packages/steering/src/common/request/latencyEstimate.ts
@@ -37,12 +37,12 @@
   }
 
   /** @returns milliseconds to wait before sending a hedge; undefined while there are too few samples */
-  getHedgeSpan (): number | undefined {
+  getHedgeDelay (): number | undefined {
     return this.quantiles?.hedgeDelay
   }
 
   /** @returns the median latency in milliseconds; undefined while there are too few samples */
-  getMedianSpan (): number | undefined {
+  getMedianLatency (): number | undefined {
     return this.quantiles?.median
   }
 
--- a/packages/steering/src/common/request/outcomeTable.ts
+++ b/packages/steering/src/common/request/outcomeTable.ts
@@ -10,23 +10,23 @@
   /** No byte was sent: the request was never written to a connected socket. */
   Nothing = 'nothing',
   /** Between one byte and the complete request may have been sent. */
-  MayHaveLeft = 'may-have-left'
+  MaybeSent = 'may-have-left'
 }
 
 /** What was received in response. */
-export enum AnswerState {
+export enum ResponseState {
   /** No byte of a final response: connection refused, stale keep-alive socket, connection reset, or 1xx responses only. */
-  Nothing = 'nothing',
+  None = 'nothing',
   /** The explicit refusal that is configured for the service, before or after the upstream read the body. */
-  Refusal = 'refusal',
+  Refused = 'refusal',
   /** A complete response with any status. */
-  Whole = 'whole',
+  Complete = 'whole',
   /** The head of a response but not its complete body: truncated, malformed chunks or connection reset. */
-  Broken = 'broken',
+  Incomplete = 'broken',
   /** The deadline passed before the response was complete. */
-  Late = 'late',
+  DeadlinePassed = 'late',
   /** Before the response was complete, the caller disconnected or the attempt was cancelled in favor of another one. */
-  Abandoned = 'abandoned'
+  Cancelled = 'abandoned'
 }
 
 /**
@@ -34,22 +34,22 @@
  * another request and proves nothing about this one. Complete and incomplete
  * responses in the first row are therefore `unknown`.
  */
-const OUTCOMES: Readonly<Record<SentState, Readonly<Record<AnswerState, Outcome>>>> = {
+const OUTCOMES: Readonly<Record<SentState, Readonly<Record<ResponseState, Outcome>>>> = {
   [SentState.Nothing]: {
-    [AnswerState.Nothing]: Outcome.NotRun,
-    [AnswerState.Refusal]: Outcome.NotRun,
-    [AnswerState.Whole]: Outcome.Unknown,
-    [AnswerState.Broken]: Outcome.Unknown,
-    [AnswerState.Late]: Outcome.NotRun,
-    [AnswerState.Abandoned]: Outcome.NotRun
+    [ResponseState.None]: Outcome.NotRun,
+    [ResponseState.Refused]: Outcome.NotRun,
+    [ResponseState.Complete]: Outcome.Unknown,
+    [ResponseState.Incomplete]: Outcome.Unknown,
+    [ResponseState.DeadlinePassed]: Outcome.NotRun,
+    [ResponseState.Cancelled]: Outcome.NotRun
   },
-  [SentState.MayHaveLeft]: {
-    [AnswerState.Nothing]: Outcome.Unknown,
-    [AnswerState.Refusal]: Outcome.NotRun,
-    [AnswerState.Whole]: Outcome.Done,
-    [AnswerState.Broken]: Outcome.Unknown,
-    [AnswerState.Late]: Outcome.Unknown,
-    [AnswerState.Abandoned]: Outcome.Unknown
+  [SentState.MaybeSent]: {
+    [ResponseState.None]: Outcome.Unknown,
+    [ResponseState.Refused]: Outcome.NotRun,
+    [ResponseState.Complete]: Outcome.Done,
+    [ResponseState.Incomplete]: Outcome.Unknown,
+    [ResponseState.DeadlinePassed]: Outcome.Unknown,
+    [ResponseState.Cancelled]: Outcome.Unknown
   }
 }
 
@@ -58,7 +58,7 @@
  * @param received what was received
  * @returns the outcome of the request after this exchange
  */
-export function classifyExchange (sent: SentState, received: AnswerState): Outcome {
+export function classifyExchange (sent: SentState, received: ResponseState): Outcome {
   return OUTCOMES[sent][received]
 }
 
--- a/packages/steering/src/common/request/requestFlow.ts
+++ b/packages/steering/src/common/request/requestFlow.ts
@@ -12,7 +12,7 @@
 import { mergeOutcomes } from './outcomeTable.js'
 import {
   AttemptPurpose, AttemptState, FlowEffectKind, FlowEventKind, FlowPhase, FlowTimer,
-  type FlowAttempt, type FlowEffect, type FlowEvent, type FlowPolicy, type FlowState, type FlowStep, type FlowView, type PlaceWish
+  type FlowAttempt, type FlowEffect, type FlowEvent, type FlowPolicy, type FlowState, type FlowStep, type FlowContext, type PlacementPreference
 } from './flowTypes.js'
 
 /** Maximum number of attempts, for requests that are idempotent or whose earlier attempts did not run. */
@@ -35,14 +35,14 @@
 }
 
 type EventOf<Kind extends FlowEventKind> = Extract<FlowEvent, { kind: Kind }>
-type Handlers = { readonly [Kind in FlowEventKind]: (state: FlowState, event: EventOf<Kind>, context: FlowView) => FlowStep }
+type Handlers = { readonly [Kind in FlowEventKind]: (state: FlowState, event: EventOf<Kind>, context: FlowContext) => FlowStep }
 
 const HANDLERS: Handlers = {
   [FlowEventKind.Started]: (state, _event, context) => handleStart(state, context),
   [FlowEventKind.SlotGranted]: handleSlotGrant,
   [FlowEventKind.SlotRefused]: handleSlotRefusal,
   [FlowEventKind.AttemptFailed]: handleAttemptFailure,
-  [FlowEventKind.AnswerBegan]: handleResponse,
+  [FlowEventKind.ResponseStarted]: handleResponse,
   [FlowEventKind.TimerDue]: handleTimer,
   [FlowEventKind.CallerLeft]: (state) => state.phase === FlowPhase.Running ? refuseRequest(state) : buildStep(state)
 }
@@ -54,17 +54,17 @@
  * @param context the other inputs of the decision, as they are now
  * @returns the new state and the effects to carry out, in order
  */
-export function stepFlow (state: FlowState, event: FlowEvent, context: FlowView): FlowStep {
-  const handle = HANDLERS[event.kind] as (state: FlowState, event: FlowEvent, context: FlowView) => FlowStep
+export function stepFlow (state: FlowState, event: FlowEvent, context: FlowContext): FlowStep {
+  const handle = HANDLERS[event.kind] as (state: FlowState, event: FlowEvent, context: FlowContext) => FlowStep
   return handle(state, event, context)
 }
 
-function handleStart (state: FlowState, context: FlowView): FlowStep {
+function handleStart (state: FlowState, context: FlowContext): FlowStep {
   if (hasPassed(state.policy.deadline, context.now)) return refuseRequest(state)
-  return addAttempt(state, AttemptPurpose.First, [{ kind: FlowEffectKind.RecordFirst }])
+  return addAttempt(state, AttemptPurpose.First, [{ kind: FlowEffectKind.RecordFirstAttempt }])
 }
 
-function handleSlotGrant (state: FlowState, event: EventOf<FlowEventKind.SlotGranted>, context: FlowView): FlowStep {
+function handleSlotGrant (state: FlowState, event: EventOf<FlowEventKind.SlotGranted>, context: FlowContext): FlowStep {
   const { attemptId, workerId, failureDomain } = event
   const attempt = state.attempts[attemptId]
   const releaseEffect: FlowEffect = { kind: FlowEffectKind.ReleaseSlot, attemptId }
@@ -76,22 +76,22 @@
     return addEffectsBefore([releaseEffect], waitOrRefuse(failed))
   }
   const sent = setAttempt(state, attemptId, { ...attempt, state: AttemptState.Sent, workerId, failureDomain })
-  return { state: sent, effects: [{ kind: FlowEffectKind.Send, attemptId }, ...planHedge(sent, attempt, context)] }
+  return { state: sent, effects: [{ kind: FlowEffectKind.SendAttempt, attemptId }, ...planHedge(sent, attempt, context)] }
 }
 
-function maySendBody (attempt: FlowAttempt, context: FlowView): boolean {
-  return attempt.purpose === AttemptPurpose.Hedge ? context.isBodyShared : context.isBodyWhole
+function maySendBody (attempt: FlowAttempt, context: FlowContext): boolean {
+  return attempt.purpose === AttemptPurpose.Hedge ? context.isBodyBuffered : context.isBodyReplayable
 }
 
-function planHedge (state: FlowState, attempt: FlowAttempt, context: FlowView): FlowEffect[] {
+function planHedge (state: FlowState, attempt: FlowAttempt, context: FlowContext): FlowEffect[] {
   if (!state.policy.isIdempotent || attempt.purpose !== AttemptPurpose.First) return []
-  if (!context.isBodyShared || context.hedgeSpan === undefined || state.policy.maxAttempts < 2) return []
-  const at = createDeadline(context.now, context.hedgeSpan)
+  if (!context.isBodyBuffered || context.hedgeDelay === undefined || state.policy.maxAttempts < 2) return []
+  const at = createDeadline(context.now, context.hedgeDelay)
   if (at >= state.policy.deadline) return []
   return [{ kind: FlowEffectKind.StartTimer, timer: FlowTimer.Hedge, at }]
 }
 
-function handleSlotRefusal (state: FlowState, event: EventOf<FlowEventKind.SlotRefused>, context: FlowView): FlowStep {
+function handleSlotRefusal (state: FlowState, event: EventOf<FlowEventKind.SlotRefused>, context: FlowContext): FlowStep {
   const attempt = state.attempts[event.attemptId]
   if (attempt?.state !== AttemptState.Acquiring || state.phase !== FlowPhase.Running) return buildStep(state)
   const failed = setAttempt(state, event.attemptId, { ...attempt, state: AttemptState.Failed, outcome: Outcome.NotRun })
@@ -101,14 +101,14 @@
   return attempt.purpose === AttemptPurpose.Hedge ? retryOrRefuse(failed, context) : refuseRequest(failed)
 }
 
-function handleAttemptFailure (state: FlowState, event: EventOf<FlowEventKind.AttemptFailed>, context: FlowView): FlowStep {
+function handleAttemptFailure (state: FlowState, event: EventOf<FlowEventKind.AttemptFailed>, context: FlowContext): FlowStep {
   const attempt = state.attempts[event.attemptId]
   if (attempt?.state !== AttemptState.Sent || state.phase !== FlowPhase.Running) return buildStep(state)
   const failed = setAttempt(state, event.attemptId, { ...attempt, state: AttemptState.Failed, outcome: event.outcome })
   return hasOpenAttempt(failed) ? buildStep(failed) : retryOrRefuse(failed, context)
 }
 
-function retryOrRefuse (state: FlowState, context: FlowView): FlowStep {
+function retryOrRefuse (state: FlowState, context: FlowContext): FlowStep {
   if (!mayRetry(state, context)) return refuseRequest(state)
   const backoffSpan = computeBackoff(state.backoffSpan, context.jitter)
   const retryAt = createDeadline(context.now, backoffSpan)
@@ -116,7 +116,7 @@
   return {
     state: { ...state, backoffSpan, retryAt },
     effects: [
-      { kind: FlowEffectKind.SpendToken },
+      { kind: FlowEffectKind.ConsumeRetryToken },
       { kind: FlowEffectKind.StopTimer, timer: FlowTimer.Hedge },
       { kind: FlowEffectKind.StartTimer, timer: FlowTimer.Retry, at: retryAt }
     ]
@@ -127,10 +127,10 @@
  * A request that may have run is retried only if it is idempotent: running an
  * escort assignment twice, for example, would send two members of staff to one gate.
  */
-function mayRetry (state: FlowState, context: FlowView): boolean {
+function mayRetry (state: FlowState, context: FlowContext): boolean {
   const isKnownNotRun = mergeOutcomes(listOutcomes(state)) === Outcome.NotRun
   if (!state.policy.isIdempotent && !isKnownNotRun) return false
-  return state.attempts.length < state.policy.maxAttempts && context.hasToken && context.isBodyWhole
+  return state.attempts.length < state.policy.maxAttempts && context.hasRetryToken && context.isBodyReplayable
 }
 
 /** Decorrelated jitter: each backoff is random between the base and three times the previous backoff. */
@@ -138,43 +138,43 @@
   return Math.min(MAX_BACKOFF_MS, BASE_BACKOFF_MS + jitter * (previousBackoff * BACKOFF_GROWTH_FACTOR - BASE_BACKOFF_MS))
 }
 
-function handleResponse (state: FlowState, event: EventOf<FlowEventKind.AnswerBegan>): FlowStep {
+function handleResponse (state: FlowState, event: EventOf<FlowEventKind.ResponseStarted>): FlowStep {
   const attempt = state.attempts[event.attemptId]
   const isUsable = attempt?.state === AttemptState.Sent && state.phase === FlowPhase.Running
   if (!isUsable) return buildStep(state, [{ kind: FlowEffectKind.CancelAttempt, attemptId: event.attemptId }])
   const withResponse = setAttempt(state, event.attemptId, { ...attempt, state: AttemptState.Responding })
   const { state: rest, effects } = cancelOpenAttempts(withResponse)
-  return { state: { ...rest, phase: FlowPhase.Answered }, effects: [{ kind: FlowEffectKind.Answer, attemptId: event.attemptId }, ...effects] }
+  return { state: { ...rest, phase: FlowPhase.Answered }, effects: [{ kind: FlowEffectKind.ForwardResponse, attemptId: event.attemptId }, ...effects] }
 }
 
-function handleTimer (state: FlowState, event: EventOf<FlowEventKind.TimerDue>, context: FlowView): FlowStep {
+function handleTimer (state: FlowState, event: EventOf<FlowEventKind.TimerDue>, context: FlowContext): FlowStep {
   if (state.phase !== FlowPhase.Running) return buildStep(state)
   return event.timer === FlowTimer.Retry ? handleRetryDue(state, context) : handleHedgeDue(state, context)
 }
 
-function handleRetryDue (state: FlowState, context: FlowView): FlowStep {
+function handleRetryDue (state: FlowState, context: FlowContext): FlowStep {
   if (state.retryAt === undefined) return buildStep(state)
   const due = { ...state, retryAt: undefined }
-  if (hasPassed(due.policy.deadline, context.now) || !context.isBodyWhole) return refuseRequest(due)
+  if (hasPassed(due.policy.deadline, context.now) || !context.isBodyReplayable) return refuseRequest(due)
   return addAttempt(due, AttemptPurpose.Retry, [])
 }
 
-function handleHedgeDue (state: FlowState, context: FlowView): FlowStep {
+function handleHedgeDue (state: FlowState, context: FlowContext): FlowStep {
   const isSlow = state.attempts.length === 1 && state.attempts[0]?.state === AttemptState.Sent
-  if (!isSlow || !state.policy.isIdempotent || !context.hasToken || !context.isBodyShared) return buildStep(state)
+  if (!isSlow || !state.policy.isIdempotent || !context.hasRetryToken || !context.isBodyBuffered) return buildStep(state)
   if (hasPassed(state.policy.deadline, context.now)) return buildStep(state)
-  return addAttempt(state, AttemptPurpose.Hedge, [{ kind: FlowEffectKind.SpendToken }])
+  return addAttempt(state, AttemptPurpose.Hedge, [{ kind: FlowEffectKind.ConsumeRetryToken }])
 }
 
 function addAttempt (state: FlowState, purpose: AttemptPurpose, precedingEffects: readonly FlowEffect[]): FlowStep {
   const attemptId = state.attempts.length
   const attempts = [...state.attempts, { purpose, state: AttemptState.Acquiring }]
-  const acquireEffect: FlowEffect = { kind: FlowEffectKind.AcquireSlot, attemptId, purpose, wish: buildPlacementPreference(state) }
+  const acquireEffect: FlowEffect = { kind: FlowEffectKind.AcquireSlot, attemptId, purpose, preference: buildPlacementPreference(state) }
   return { state: { ...state, attempts }, effects: [...precedingEffects, acquireEffect] }
 }
 
 /** Prefers another worker in the same failure domain; after two attempts there, another domain. */
-function buildPlacementPreference (state: FlowState): PlaceWish {
+function buildPlacementPreference (state: FlowState): PlacementPreference {
   const attemptsByDomain = new Map<string, number>()
   for (const { failureDomain } of state.attempts) {
     if (failureDomain !== undefined) attemptsByDomain.set(failureDomain, (attemptsByDomain.get(failureDomain) ?? 0) + 1)
@@ -183,7 +183,7 @@
   const lastDomain = state.attempts.at(-1)?.failureDomain
   const preferredDomain = lastDomain === undefined || avoidedDomains.has(lastDomain) ? undefined : lastDomain
   const excludedWorkers = new Set(state.attempts.flatMap(({ workerId }) => workerId ?? []))
-  return { preferred: preferredDomain, avoided: avoidedDomains, excludedWorkers }
+  return { preferredDomain, avoidedDomains, excludedWorkers }
 }
 
 function waitOrRefuse (state: FlowState): FlowStep {
--- a/packages/steering/src/common/request/requestProblem.ts
+++ b/packages/steering/src/common/request/requestProblem.ts
@@ -19,7 +19,7 @@
   /** The Idempotency-Key was used for a request with a different method or path. */
   KeyReused = 'key-reused',
   /** No slot, connection or place in the queue became available in time. */
-  NoRoom = 'no-room',
+  NoCapacity = 'no-room',
   /** This daemon has no configuration yet or is stopping. */
   NotReady = 'not-ready',
   /** The request could not be claimed because the store is unavailable. */
@@ -46,7 +46,7 @@
   [ProblemKind.RequestRunning]: { status: 409, title: 'The first request with this key has not ended' },
   [ProblemKind.AlreadyRan]: { status: 409, title: 'The request with this key has run' },
   [ProblemKind.KeyReused]: { status: 422, title: 'The key belongs to another request' },
-  [ProblemKind.NoRoom]: { status: 503, title: 'No room for the request' },
+  [ProblemKind.NoCapacity]: { status: 503, title: 'No room for the request' },
   [ProblemKind.NotReady]: { status: 503, title: 'This entry VM is not ready' },
   [ProblemKind.ClaimUnavailable]: { status: 503, title: 'The request could not be claimed' },
   [ProblemKind.UpstreamRefused]: { status: 503, title: 'The upstream refused the request' },
--- a/packages/steering/src/common/request/retryAfter.ts
+++ b/packages/steering/src/common/request/retryAfter.ts
@@ -1,7 +1,7 @@
 /** The Retry-After header for refused requests. */
 
 /** The load of a place that had no free slot. */
-export interface RoomView {
+export interface QueueLoad {
   /** Number of requests that are waiting for a slot. */
   readonly waiting: number
   /** Number of slots that this entry VM has there. */
@@ -24,7 +24,7 @@
  * @param jitter a random number from 0 (inclusive) to 1 (exclusive)
  * @returns whole seconds from 1 to 30
  */
-export function computeRetryAfter (load: RoomView | undefined, jitter: number): number {
+export function computeRetryAfter (load: QueueLoad | undefined, jitter: number): number {
   if (load === undefined || load.slots === 0) return MIN_RETRY_AFTER_SECONDS + Math.floor(2 * jitter)
   const rounds = (load.waiting + 1) / load.slots
   const waitSeconds = Math.ceil(rounds * (load.medianSpan ?? DEFAULT_LATENCY_MS) / MS_PER_SECOND)
--- a/packages/steering/src/common/request/retryBudget.ts
+++ b/packages/steering/src/common/request/retryBudget.ts
@@ -29,18 +29,18 @@
   }
 
   /** @param tokensPerRequest the fraction in a new configuration; the available tokens are kept unless it is 0 */
-  setFraction (tokensPerRequest: number): void {
+  setTokensPerRequest (tokensPerRequest: number): void {
     this.tokensPerRequest = tokensPerRequest
     if (tokensPerRequest === 0) this.tokens = 0
   }
 
   /** Adds the tokens earned by one first attempt. */
-  recordFirst (): void {
+  recordFirstAttempt (): void {
     this.tokens = Math.min(this.maxTokens, this.tokens + this.tokensPerRequest)
   }
 
   /** Consumes a token; the caller must have checked {@link RetryBudget.hasToken} in the same turn of the event loop. */
-  take (): void {
+  consumeToken (): void {
     this.tokens = Math.max(0, this.tokens - TOKENS_PER_RETRY)
   }
 }
--- a/packages/steering/src/common/workers/ejection.ts
+++ b/packages/steering/src/common/workers/ejection.ts
@@ -66,7 +66,7 @@
   state.ejectedUntil = DISTANT_PAST
   state.consecutiveProbeFailures = 0
   state.unreachableSince = undefined
-  state.answeredAt = Math.max(state.answeredAt, now)
+  state.lastResponseAt = Math.max(state.lastResponseAt, now)
   updateFailureRate(state, false)
 }
 
@@ -95,7 +95,7 @@
  * @param now the current time
  */
 export function recordProbeFailure (states: WorkerStates, state: MutableWorkerState, policy: WorkerPolicy, now: Instant): void {
-  if (now - state.answeredAt < RESPONSE_OVERRIDES_PROBES_MS) return
+  if (now - state.lastResponseAt < RESPONSE_OVERRIDES_PROBES_MS) return
   state.unreachableSince ??= now
   state.consecutiveProbeFailures++
   if (state.consecutiveProbeFailures < MIN_PROBE_FAILURES_TO_EJECT || isOnProbation(state, now)) return
--- a/packages/steering/src/common/workers/workerState.ts
+++ b/packages/steering/src/common/workers/workerState.ts
@@ -5,7 +5,7 @@
 /** How workers are warmed up and ejected; durations in milliseconds. */
 export interface WorkerPolicy {
   /** How long a cold worker takes to reach its full weight. */
-  readonly warmUpSpanMs: number
+  readonly warmUpMs: number
   /** Consecutive failed requests that eject a worker. */
   readonly failuresToEject: number
   /** Each further ejection without a complete response in between lasts twice as long. */
@@ -14,7 +14,7 @@
 }
 
 export const DEFAULT_WORKER_POLICY: WorkerPolicy = {
-  warmUpSpanMs: 10_000,
+  warmUpMs: 10_000,
   failuresToEject: 5,
   firstEjectionMs: 5_000,
   maxEjectionMs: 60_000
@@ -63,15 +63,15 @@
   /** The worker gets no requests before this time. */
   readonly ejectedUntil: Deadline
   /** When it last gave a complete response. */
-  readonly answeredAt: Instant
+  readonly lastResponseAt: Instant
   readonly consecutiveProbeFailures: number
   /** When probes began to fail without a recent complete response; undefined after a success of either. */
   readonly unreachableSince: Instant | undefined
   /** Whether the worker itself reports that it drains, and when it last reported this or the contrary. */
-  readonly isDrainAnnounced: boolean
-  readonly drainHeardAt: Instant
+  readonly isDrainReported: boolean
+  readonly drainReportedAt: Instant
   /** Whether the platform reports that the worker's VM is being removed. */
-  readonly isVmLeaving: boolean
+  readonly isVmBeingRemoved: boolean
   /** Whether it takes no new requests, for either of these reasons. */
   readonly isDraining: boolean
 }
@@ -101,12 +101,12 @@
     failureRateSamples: 0,
     ejectionsInRow: 0,
     ejectedUntil: DISTANT_PAST,
-    answeredAt: DISTANT_PAST,
+    lastResponseAt: DISTANT_PAST,
     consecutiveProbeFailures: 0,
     unreachableSince: undefined,
-    isDrainAnnounced: false,
-    drainHeardAt: DISTANT_PAST,
-    isVmLeaving: false,
+    isDrainReported: false,
+    drainReportedAt: DISTANT_PAST,
+    isVmBeingRemoved: false,
     isDraining: false
   }
 }
--- a/packages/steering/src/common/workers/workerTable.ts
+++ b/packages/steering/src/common/workers/workerTable.ts
@@ -99,7 +99,7 @@
    * @param workerId the id of the worker that responded
    * @param now the current time; if omitted, the response doesn't override failed probes
    */
-  observeAnswer (workerId: string, now = -Infinity): void {
+  observeResponse (workerId: string, now = -Infinity): void {
     const state = this.states.get(workerId)
     if (state !== undefined) recordSuccess(state, now)
   }
@@ -111,7 +111,7 @@
    * @param elapsedMs from sending the request to receiving the response headers
    * @param now the current time
    */
-  observeAnswerTime (workerId: string, elapsedMs: number, now: Instant): void {
+  observeResponseTime (workerId: string, elapsedMs: number, now: Instant): void {
     const state = this.states.get(workerId)
     if (state === undefined) return
     const meanMs = state.answerTime?.meanMs ?? elapsedMs
@@ -177,18 +177,18 @@
    * arrive out of order.
    * @param workerId the worker's id
    * @param isDraining whether it drains
-   * @param heardAt when the worker reported it; for a probe, when the probe was sent
+   * @param reportedAt when the worker reported it; for a probe, when the probe was sent
    */
-  markDraining (workerId: string, isDraining: boolean, heardAt: Instant): void {
+  markDraining (workerId: string, isDraining: boolean, reportedAt: Instant): void {
     const state = this.states.get(workerId)
     if (state === undefined) return
-    const isOutdated = state.isDrainAnnounced && !isDraining
-      ? heardAt < state.drainHeardAt + DRAIN_END_MARGIN_MS
-      : heardAt < state.drainHeardAt
+    const isOutdated = state.isDrainReported && !isDraining
+      ? reportedAt < state.drainReportedAt + DRAIN_END_MARGIN_MS
+      : reportedAt < state.drainReportedAt
     if (isOutdated) return
-    state.drainHeardAt = heardAt
-    state.isDrainAnnounced = isDraining
-    this.applyDrain(state, heardAt)
+    state.drainReportedAt = reportedAt
+    state.isDrainReported = isDraining
+    this.applyDrain(state, reportedAt)
   }
 
   /**
@@ -197,10 +197,10 @@
    * @param isBeingRemoved whether its VM is being removed
    * @param now the current time
    */
-  markVmLeaving (workerId: string, isBeingRemoved: boolean, now: Instant): void {
+  markVmRemoval (workerId: string, isBeingRemoved: boolean, now: Instant): void {
     const state = this.states.get(workerId)
-    if (state === undefined || state.isVmLeaving === isBeingRemoved) return
-    state.isVmLeaving = isBeingRemoved
+    if (state === undefined || state.isVmBeingRemoved === isBeingRemoved) return
+    state.isVmBeingRemoved = isBeingRemoved
     this.applyDrain(state, now)
   }
 
@@ -213,7 +213,7 @@
     const state = this.states.get(workerId)
     if (state === undefined) return
     this.startWarmUp(state, now)
-    state.isDrainAnnounced = false
+    state.isDrainReported = false
     this.applyDrain(state, now)
   }
 
@@ -242,16 +242,16 @@
    */
   private renewWarmUp (state: MutableWorkerState, now: Instant): void {
     state.startingSince ??= now
-    if (now - state.startingSince <= this.policy.warmUpSpanMs) this.startWarmUp(state, now)
+    if (now - state.startingSince <= this.policy.warmUpMs) this.startWarmUp(state, now)
   }
 
   private startWarmUp (state: MutableWorkerState, now: Instant): void {
     state.warmUpStartedAt = now
-    state.warmUpUntil = createDeadline(now, this.policy.warmUpSpanMs)
+    state.warmUpUntil = createDeadline(now, this.policy.warmUpMs)
   }
 
   private applyDrain (state: MutableWorkerState, now: Instant): void {
-    state.isDraining = state.isDrainAnnounced || state.isVmLeaving
+    state.isDraining = state.isDrainReported || state.isVmBeingRemoved
     endExcessEjections(this.states, now)
   }
 }
--- a/packages/steering/test/common/entry/documentParts.test.ts
+++ b/packages/steering/test/common/entry/documentParts.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { describe, it } from 'node:test'
 import { RecordKind, type SteeringRecord } from '../../../src/common/entry/records.js'
-import { RecordTable } from '../../../src/common/entry/recordTable.js'
+import { RecordReplica } from '../../../src/common/entry/recordReplica.js'
 import { type AccountPolicy, RouteKind, type RoutePolicy, type SteeringDocument } from '../../../src/common/entry/steeringDocument.js'
 
 const SEED = 20261204
@@ -26,7 +26,7 @@
 }
 
 /** The configuration of a VM, independent of the order of its parts. */
-function toComparable (table: RecordTable): unknown {
+function toComparable (table: RecordReplica): unknown {
   const record = table.get(KEY)
   if (record?.kind !== RecordKind.Document) return undefined
   const { version, routes, accounts } = record.value
@@ -39,14 +39,14 @@
 }
 
 /** Updates one replica from another; requests a full update if a partial one does not fit. */
-function applyUpdateFrom (receiver: RecordTable, sender: RecordTable): void {
-  const update = sender.readNewsAfter(receiver.revision)
-  if (update === undefined || receiver.applyNews(toDecoded(update), 0) !== undefined) return
-  const fullUpdate = sender.readNewsAfter(0)
-  assert.notEqual(receiver.applyNews(toDecoded(fullUpdate!), 0), undefined)
+function applyUpdateFrom (receiver: RecordReplica, sender: RecordReplica): void {
+  const update = sender.buildUpdateAfter(receiver.revision)
+  if (update === undefined || receiver.applyUpdate(toDecoded(update), 0) !== undefined) return
+  const fullUpdate = sender.buildUpdateAfter(0)
+  assert.notEqual(receiver.applyUpdate(toDecoded(fullUpdate!), 0), undefined)
 }
 
-function expectReplicated (receiver: RecordTable, sender: RecordTable): void {
+function expectReplicated (receiver: RecordReplica, sender: RecordReplica): void {
   applyUpdateFrom(receiver, sender)
   if (receiver.revision === sender.revision) assert.deepEqual(toComparable(receiver), toComparable(sender))
 }
@@ -54,12 +54,12 @@
 describe('a configuration sent in parts', () => {
   it('sends only the parts that changed', () => {
     const routes = Array.from({ length: 1_000 }, (_, index) => createRoute(`r${index}`, 1_000))
-    const sender = new RecordTable()
-    const receiver = new RecordTable()
+    const sender = new RecordReplica()
+    const receiver = new RecordReplica()
     for (const table of [sender, receiver]) table.applySnapshot({ revision: 5, records: [createRecord(createDocument(1, routes), 5)] }, 0)
     const later = createDocument(2, [...routes.slice(2), createRoute('r0', 2_000), createRoute('new', 1_000)])
     sender.applyChanges({ revision: 6, written: [createRecord(later, 6)], removed: [] }, 0)
-    const update = sender.readNewsAfter(5)!
+    const update = sender.buildUpdateAfter(5)!
     assert.deepEqual(update.written, [])
     assert.deepEqual(update.document?.written.route.map((value) => (value as RoutePolicy).name), ['r0', 'new'])
     assert.deepEqual(update.document?.removed.route, ['h.example /r1/'])
@@ -67,8 +67,8 @@
   })
 
   it('distinguishes that callers need no keys from having no valid key', () => {
-    const sender = new RecordTable()
-    const receiver = new RecordTable()
+    const sender = new RecordReplica()
+    const receiver = new RecordReplica()
     for (const [index, accounts] of [undefined, [createAccount('a', ['k'])], [], undefined].entries()) {
       sender.applyChanges({ revision: index + 5, written: [createRecord(createDocument(index + 1, [], accounts), index + 5)], removed: [] }, 0)
       expectReplicated(receiver, sender)
@@ -84,12 +84,12 @@
     const before = createDocument(1, [createRoute('a', 1_000), createRoute('b', 1_000)])
     const between = createDocument(2, [createRoute('a', 9_000), createRoute('b', 1_000)])
     const after = createDocument(3, [createRoute('a', 1_000), createRoute('b', 2_000)])
-    const sender = new RecordTable()
+    const sender = new RecordReplica()
     sender.applySnapshot({ revision: 5, records: [createRecord(before, 5)] }, 0)
     sender.applyChanges({ revision: 9, written: [createRecord(after, 9)], removed: [] }, 0)
-    const receiver = new RecordTable()
+    const receiver = new RecordReplica()
     receiver.applySnapshot({ revision: 7, records: [createRecord(between, 7)] }, 0)
-    assert.equal(receiver.applyNews(toDecoded(sender.readNewsAfter(7)!), 0), undefined)
+    assert.equal(receiver.applyUpdate(toDecoded(sender.buildUpdateAfter(7)!), 0), undefined)
     assert.equal(receiver.revision, 7)
     expectReplicated(receiver, sender)
   })
@@ -107,7 +107,7 @@
       let accounts: AccountPolicy[] | undefined
       const routes = new Map<string, RoutePolicy>()
       const written = [createRecord(createDocument(version, []), revision)]
-      const tables = Array.from({ length: 4 }, () => new RecordTable())
+      const tables = Array.from({ length: 4 }, () => new RecordReplica())
       const put = (): void => { written.push(createRecord(createDocument(++version, [...routes.values()], accounts), ++revision)) }
       const actions: Readonly<Record<string, (route: string, one: number, other: number) => void>> = {
         change: (route) => { if (routes.has(route)) { routes.set(route, createRoute(route, revision)); put() } },
@@ -118,7 +118,7 @@
         watch: (_route, one) => { tables[one]!.applyChanges({ revision, written: written.filter((record) => record.revision > tables[one]!.revision), removed: [] }, 0) },
         read: (_route, one) => { tables[one]!.applySnapshot({ revision, records: [written.at(-1)!] }, 0) },
         update: (_route, one, other) => { expectReplicated(tables[one]!, tables[other]!) },
-        restart: (_route, one) => { tables[one] = new RecordTable() }
+        restart: (_route, one) => { tables[one] = new RecordReplica() }
       }
       for (const { action, route } of list) {
         const [verb, one, other] = action.split(' ')
--- a/packages/steering/test/common/entry/recordProof.test.ts
+++ b/packages/steering/test/common/entry/freshnessProof.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { HeardClock } from '../../../src/common/entry/heardClock.js'
-import { RecordProof } from '../../../src/common/entry/recordProof.js'
+import { PeerClock } from '../../../src/common/entry/peerClock.js'
+import { FreshnessProof } from '../../../src/common/entry/freshnessProof.js'
 
 const SEED = 20261203
 
 describe('the freshness proof of the records', () => {
   it('counts from when the request was sent, once all changes up to the answered revision are known', () => {
-    const proof = new RecordProof()
+    const proof = new FreshnessProof()
     assert.equal(proof.getAgeMs(1_000), Infinity)
-    proof.recordReading({ askedAt: 1_000, revision: 7 }, 6)
+    proof.recordReading({ requestedAt: 1_000, revision: 7 }, 6)
     assert.equal(proof.getAgeMs(1_500), Infinity)
     proof.handleRevision(7)
     assert.equal(proof.getAgeMs(1_500), 500)
@@ -21,7 +21,7 @@
     // later than the last request of which all changes are known.
     const step = fc.record({ isAnswer: fc.boolean(), bySteps: fc.nat(4) })
     fc.assert(fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-      const proof = new RecordProof()
+      const proof = new FreshnessProof()
       const readings: Array<{ askedAt: number, revision: number }> = []
       let revision = 0
       let known = 0
@@ -29,7 +29,7 @@
         revision += bySteps
         if (isAnswer) {
           readings.push({ askedAt: now, revision })
-          proof.recordReading({ askedAt: now, revision }, known)
+          proof.recordReading({ requestedAt: now, revision }, known)
         } else {
           known = Math.min(revision, known + bySteps)
           proof.handleRevision(known)
@@ -48,26 +48,26 @@
     const line = fc.record({ spanMs: fc.nat(60_000), delayMs: fc.nat(20_000) })
     fc.assert(fc.property(fc.array(line, { minLength: 1, maxLength: 30 }), fc.integer({ min: -1_000_000, max: 1_000_000 }), fc.nat(5_000), fc.integer({ min: -500, max: 500 }), (lines, offsetMs, wayMs, ratePpm) => {
       const askedAt = 500
-      const clock = new HeardClock(askedAt)
+      const clock = new PeerClock(askedAt)
       let writtenAt = askedAt + wayMs
       let arrivedAt = writtenAt
       for (const { spanMs, delayMs } of lines) {
         writtenAt += spanMs
         arrivedAt = Math.max(arrivedAt, writtenAt + delayMs)
         const clockMs = offsetMs + writtenAt * (1 + ratePpm / 1_000_000)
-        clock.recordLine(clockMs, arrivedAt)
-        assert.ok(clock.toOwnInstant(clockMs) <= writtenAt + 0.001, `${clock.toOwnInstant(clockMs)} for ${writtenAt}`)
+        clock.recordReading(clockMs, arrivedAt)
+        assert.ok(clock.toLocalInstant(clockMs) <= writtenAt + 0.001, `${clock.toLocalInstant(clockMs)} for ${writtenAt}`)
       }
     }), { seed: SEED })
   })
 
   it('is uncertain when the first message arrived late, or long ago', () => {
-    const late = new HeardClock(0)
-    late.recordLine(10, 400)
-    assert.ok(late.isDoubtful(400))
-    const prompt = new HeardClock(0)
-    prompt.recordLine(10, 70)
-    assert.ok(!prompt.isDoubtful(1_000))
-    assert.ok(prompt.isDoubtful(300_000))
+    const late = new PeerClock(0)
+    late.recordReading(10, 400)
+    assert.ok(late.isUncertain(400))
+    const prompt = new PeerClock(0)
+    prompt.recordReading(10, 70)
+    assert.ok(!prompt.isUncertain(1_000))
+    assert.ok(prompt.isUncertain(300_000))
   })
 })
--- a/packages/steering/test/common/entry/recordNews.test.ts
+++ b/packages/steering/test/common/entry/recordUpdate.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check'
 import { describe, it } from 'node:test'
 import { RecordKind, type SteeringRecord, UpstreamState } from '../../../src/common/entry/records.js'
-import { RecordTable, REREGISTRATION_GRACE_MS } from '../../../src/common/entry/recordTable.js'
+import { RecordReplica, REREGISTRATION_GRACE_MS } from '../../../src/common/entry/recordReplica.js'
 
 const SEED = 20261203
 
@@ -10,14 +10,14 @@
   return { kind: RecordKind.Upstream, key: `w/${id}`, revision, value: { id, service: 's', address: '127.0.0.1:1', domain: 'a', slots: 4, state: UpstreamState.Ready, coldMs: 0 } }
 }
 
-function listKeysWithRevisions (table: RecordTable): string[] {
+function listKeysWithRevisions (table: RecordReplica): string[] {
   return table.list().map(({ key, revision }) => `${key}@${revision}`).sort()
 }
 
 /** Updates one replica from another. */
-function applyUpdateFrom (receiver: RecordTable, sender: RecordTable, now: number): void {
-  const update = sender.readNewsAfter(receiver.revision)
-  if (update !== undefined) receiver.applyNews(update, now)
+function applyUpdateFrom (receiver: RecordReplica, sender: RecordReplica, now: number): void {
+  const update = sender.buildUpdateAfter(receiver.revision)
+  if (update !== undefined) receiver.applyUpdate(update, now)
 }
 
 const steps = fc.array(fc.record({
@@ -33,9 +33,9 @@
       let revision = 0
       const store = new Map<string, SteeringRecord>()
       let history: Array<{ key: string, revision: number, record: SteeringRecord | undefined }> = []
-      const first = new RecordTable()
-      let second = new RecordTable()
-      const third = new RecordTable()
+      const first = new RecordReplica()
+      let second = new RecordReplica()
+      const third = new RecordReplica()
       const readStore = (): void => {
         const news = history.filter((event) => event.revision > first.revision)
         const newest = new Map(news.map((event) => [event.key, event]))
@@ -60,7 +60,7 @@
         'second updates': () => { applyUpdateFrom(second, first, 0) },
         'third updates': () => { applyUpdateFrom(third, second, 0) },
         'third updates from first': () => { applyUpdateFrom(third, first, 0) },
-        'second restarts': () => { second = new RecordTable() }
+        'second restarts': () => { second = new RecordReplica() }
       }
       for (const { action, worker } of list) actions[action]!(worker)
       readStore()
@@ -85,8 +85,8 @@
       let droppedUpTo = 0
       const store = new Map<string, SteeringRecord>()
       const events: Array<{ key: string, revision: number, record: SteeringRecord | undefined }> = []
-      const tables = Array.from({ length: 4 }, () => new RecordTable())
-      const read = (table: RecordTable): void => {
+      const tables = Array.from({ length: 4 }, () => new RecordReplica())
+      const read = (table: RecordReplica): void => {
         if (table.revision <= droppedUpTo) {
           table.applySnapshot({ revision, records: [...store.values()] }, 0)
           return
@@ -120,9 +120,9 @@
     // A VM receives from a peer that a worker joined (revision 6) and then loses that peer. The next peer had
     // been cut off and reads a snapshot as of revision 9, after the worker has left: it never knew the worker,
     // and so could not report its removal.
-    const sender = new RecordTable()
+    const sender = new RecordReplica()
     sender.applySnapshot({ revision: 5, records: [createWorker('1', 5)] }, 0)
-    const receiver = new RecordTable()
+    const receiver = new RecordReplica()
     receiver.applySnapshot({ revision: 6, records: [createWorker('1', 5), createWorker('2', 6)] }, 0)
     sender.applySnapshot({ revision: 9, records: [createWorker('1', 5)] }, 0)
     applyUpdateFrom(receiver, sender, 0)
@@ -132,10 +132,10 @@
   it('remove such a worker also when they pass a VM without a gap', () => {
     // As above, with a relay: it receives the snapshot as changes, while the receiver got the worker from the
     // store's other follower.
-    const sender = new RecordTable()
-    const relay = new RecordTable()
+    const sender = new RecordReplica()
+    const relay = new RecordReplica()
     for (const table of [sender, relay]) table.applySnapshot({ revision: 5, records: [createWorker('1', 5)] }, 0)
-    const receiver = new RecordTable()
+    const receiver = new RecordReplica()
     receiver.applySnapshot({ revision: 6, records: [createWorker('1', 5), createWorker('2', 6)] }, 0)
     sender.applySnapshot({ revision: 9, records: [createWorker('1', 5)] }, 0)
     applyUpdateFrom(relay, sender, 0)
@@ -147,12 +147,12 @@
     // The store compacted its history while links were congested. Each follower read a snapshot and sent a full
     // update of 200 kB to every VM, over three hops of a tree: for four seconds no VM of the region could prove
     // that its records were fresh.
-    const sender = new RecordTable()
-    const receiver = new RecordTable()
+    const sender = new RecordReplica()
+    const receiver = new RecordReplica()
     const records = Array.from({ length: 50 }, (_, index) => createWorker(String(index), 5))
     for (const table of [sender, receiver]) table.applySnapshot({ revision: 5, records }, 0)
     sender.applySnapshot({ revision: 9, records: [...records.slice(1), createWorker('new', 8)] }, 0)
-    const news = sender.readNewsAfter(receiver.revision)
+    const news = sender.buildUpdateAfter(receiver.revision)
     assert.deepEqual({ isWhole: news?.isWhole, written: news?.written.length, removed: news?.removed.length }, { isWhole: false, written: 1, removed: 1 })
     applyUpdateFrom(receiver, sender, 0)
     assert.deepEqual(listKeysWithRevisions(receiver), listKeysWithRevisions(sender))
@@ -162,38 +162,38 @@
     // The store was unavailable for all VMs and recovers. A worker's lease expired in the outage; the worker is
     // alive and registers again within 2 s. The receiver, which gets the removal only from the follower, must
     // not remove it either.
-    const sender = new RecordTable()
-    const receiver = new RecordTable()
+    const sender = new RecordReplica()
+    const receiver = new RecordReplica()
     for (const table of [sender, receiver]) {
       table.applySnapshot({ revision: 5, records: [createWorker('1', 5)] }, 0)
       table.recordStoreLost(0)
     }
-    sender.recordStoreRegained(5_000)
+    sender.recordStoreRecovered(5_000)
     sender.applyChanges({ revision: 6, written: [], removed: [{ key: 'w/1', revision: 6 }] }, 5_000)
-    receiver.recordStoreRegained(5_100, sender.getHoldMs(5_100))
+    receiver.recordStoreRecovered(5_100, sender.getRemovalHoldMs(5_100))
     applyUpdateFrom(receiver, sender, 5_100)
     assert.deepEqual(listKeysWithRevisions(receiver), ['w/1@5'])
-    assert.deepEqual(receiver.releaseHeld(5_000 + REREGISTRATION_GRACE_MS - 1), [])
-    assert.equal(receiver.releaseHeld(5_000 + REREGISTRATION_GRACE_MS).length, 1)
+    assert.deepEqual(receiver.applyDueRemovals(5_000 + REREGISTRATION_GRACE_MS - 1), [])
+    assert.equal(receiver.applyDueRemovals(5_000 + REREGISTRATION_GRACE_MS).length, 1)
   })
 
   it('hold back removals also at a VM that gets a full update after the outage', () => {
-    const sender = new RecordTable()
+    const sender = new RecordReplica()
     sender.applySnapshot({ revision: 5, records: [createWorker('1', 5)] }, 0)
     sender.recordStoreLost(0)
-    sender.recordStoreRegained(5_000)
+    sender.recordStoreRecovered(5_000)
     sender.applyChanges({ revision: 6, written: [], removed: [{ key: 'w/1', revision: 6 }] }, 5_000)
-    const receiver = new RecordTable()
-    receiver.updateHold(5_500, sender.getHoldMs(5_500))
+    const receiver = new RecordReplica()
+    receiver.updateRemovalHold(5_500, sender.getRemovalHoldMs(5_500))
     applyUpdateFrom(receiver, sender, 5_500)
     assert.deepEqual(listKeysWithRevisions(receiver), ['w/1@5'])
-    assert.equal(receiver.releaseHeld(5_000 + REREGISTRATION_GRACE_MS).length, 1)
+    assert.equal(receiver.applyDueRemovals(5_000 + REREGISTRATION_GRACE_MS).length, 1)
   })
 
   it('are full for a VM that is further behind than the remembered removals', () => {
-    const sender = new RecordTable()
+    const sender = new RecordReplica()
     sender.applySnapshot({ revision: 1, records: [] }, 0)
-    const receiver = new RecordTable()
+    const receiver = new RecordReplica()
     sender.applyChanges({ revision: 2, written: [createWorker('old', 2)], removed: [] }, 0)
     applyUpdateFrom(receiver, sender, 0)
     sender.applyChanges({ revision: 3, written: [], removed: [{ key: 'w/old', revision: 3 }] }, 0)
@@ -201,7 +201,7 @@
       sender.applyChanges({ revision, written: [createWorker(String(revision), revision)], removed: [] }, 0)
       sender.applyChanges({ revision: revision + 1, written: [], removed: [{ key: `w/${revision}`, revision: revision + 1 }] }, 0)
     }
-    assert.equal(sender.readNewsAfter(receiver.revision)?.isWhole, true)
+    assert.equal(sender.buildUpdateAfter(receiver.revision)?.isWhole, true)
     applyUpdateFrom(receiver, sender, 0)
     assert.deepEqual(listKeysWithRevisions(receiver), [])
   })
--- a/packages/steering/test/common/entry/followPlan.test.ts
+++ b/packages/steering/test/common/entry/replicationPlan.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import fc from 'fast-check'
 import { describe, it } from 'node:test'
-import { type FollowPlan, planFollowing } from '../../../src/common/entry/followPlan.js'
+import { type ReplicationPlan, planReplication } from '../../../src/common/entry/replicationPlan.js'
 import type { EntryNode } from '../../../src/common/entry/records.js'
 
 const SEED = 20261203
@@ -12,15 +12,15 @@
   return { linkMbps, name: `vm-${index}`, domain, address: `10.0.0.${index}:1`, peerAddress: `10.0.0.${index}:2` }
 }
 
-function planAll (nodes: readonly EntryNode[], regionOf: ReadonlyMap<string, string> = REGION_OF): Map<string, FollowPlan> {
-  return new Map(nodes.map((node) => [node.name, planFollowing(nodes, node, regionOf)]))
+function planAll (nodes: readonly EntryNode[], regionOf: ReadonlyMap<string, string> = REGION_OF): Map<string, ReplicationPlan> {
+  return new Map(nodes.map((node) => [node.name, planReplication(nodes, node, regionOf)]))
 }
 
 /**
  * Counts the hops from the store to each VM over its first two sources. VMs that are not
  * reached while some have failed are missing.
  */
-function countHops (plans: ReadonlyMap<string, FollowPlan>, failedNodes: ReadonlySet<string>): Map<string, number> {
+function countHops (plans: ReadonlyMap<string, ReplicationPlan>, failedNodes: ReadonlySet<string>): Map<string, number> {
   const hops = new Map([...plans].filter(([name, { isFollower }]) => isFollower && !failedNodes.has(name)).map(([name]) => [name, 0]))
   for (let hop = 1, hasGrown = true; hasGrown; hop++) {
     hasGrown = false
@@ -111,7 +111,7 @@
     const nodes = Array.from({ length: 4_600 }, (_, index) => createNode(index, domains[index % 82]!))
     // One region is planned completely; the others are planned in the same way.
     const own = nodes.filter(({ domain }) => regionOf.get(domain) === 'r0')
-    const plans = new Map(own.map((node) => [node.name, planFollowing(nodes, node, regionOf)]))
+    const plans = new Map(own.map((node) => [node.name, planReplication(nodes, node, regionOf)]))
     assert.equal([...plans.values()].filter(({ isFollower }) => isFollower).length, 2)
     const hops = countHops(plans, new Set())
     assert.equal(hops.size, own.length)
--- a/packages/steering/test/common/entry/shares.test.ts
+++ b/packages/steering/test/common/entry/shares.test.ts
@@ -113,7 +113,7 @@
       for (const { node, at, isRepeat } of events.sort((left, right) => left.at - right.at)) {
         const window = windows[node % count]!
         if (!isRepeat) {
-          window.recordFirst(at)
+          window.recordFirstAttempt(at)
           first.push(at)
         } else if (window.take(at)) repeats.push(at)
       }
@@ -139,7 +139,7 @@
     for (let index = 0; index < requestCount; index++) {
       const at = index * 1_000 / perSecond
       const window = windows[Math.floor(random.next() * count)]!
-      window.recordFirst(at)
+      window.recordFirstAttempt(at)
       if (random.next() < 0.5 && window.take(at)) sent++
     }
     const wanted = requestCount / 2
--- a/packages/steering/test/common/spread/spread.test.ts
+++ b/packages/steering/test/common/gossip/gossip.test.ts
@@ -4,27 +4,27 @@
 import fc from 'fast-check'
 import { SeededRandom } from '@umberspar/base/common/random'
 import { shouldAdopt } from '../../../src/common/configuration/versionedConfiguration.js'
-import { chooseNeighbours, computeRoundSpan, listRingSuccessors, MAX_REMOTE_NEIGHBOURS, MAX_RING_NEIGHBOURS } from '../../../src/common/spread/neighbours.js'
-import { choosePushTargets, MAX_PUSH_FAN_OUT, PushScope, type PushRoute } from '../../../src/common/spread/pushTree.js'
-import type { SpreadNode } from '../../../src/common/spread/spreadNode.js'
-import { computeNextStoreRead } from '../../../src/common/spread/storeReads.js'
-import { chooseWatchers, MAX_WATCHERS_PER_REGION } from '../../../src/common/spread/watchers.js'
+import { chooseNeighbours, computeRoundIntervalMs, listRingSuccessors, MAX_REMOTE_NEIGHBOURS, MAX_RING_NEIGHBOURS } from '../../../src/common/gossip/neighbours.js'
+import { choosePushTargets, MAX_PUSH_FAN_OUT, PushScope, type PushRoute } from '../../../src/common/gossip/pushTree.js'
+import type { NodeLocation } from '../../../src/common/gossip/nodeLocation.js'
+import { computeNextStoreRead } from '../../../src/common/gossip/storeReads.js'
+import { chooseWatchers, MAX_WATCHERS_PER_REGION } from '../../../src/common/gossip/watchers.js'
 
 const SEED = 5_171
 const RUNS = { seed: SEED, numRuns: 100 }
 
 /** Up to eight regions with up to forty nodes each. */
 const nodesArbitrary = fc.array(fc.integer({ min: 1, max: 40 }), { minLength: 1, maxLength: 8 }).map((sizes) =>
-  sizes.flatMap((size, region) => Array.from({ length: size }, (_, index): SpreadNode => ({ nodeId: `n${region}-${index}`, region: `r${region}` }))))
+  sizes.flatMap((size, region) => Array.from({ length: size }, (_, index): NodeLocation => ({ nodeId: `n${region}-${index}`, region: `r${region}` }))))
 
-function findNode (nodes: readonly SpreadNode[], nodeId: string): SpreadNode {
+function findNode (nodes: readonly NodeLocation[], nodeId: string): NodeLocation {
   const node = nodes.find((candidate) => candidate.nodeId === nodeId)
   assert.ok(node !== undefined)
   return node
 }
 
 /** Counts how often one push reaches each node, the hops of its longest path and the most targets of a node. */
-function runPush (nodes: readonly SpreadNode[], route: PushRoute): { reached: Map<string, number>, hops: number, maxTargets: number } {
+function runPush (nodes: readonly NodeLocation[], route: PushRoute): { reached: Map<string, number>, hops: number, maxTargets: number } {
   const reached = new Map([[route.originId, 1]])
   let frontier = [route.originId]
   let hops = 0
@@ -48,7 +48,7 @@
 describe('push tree', () => {
   it('reaches each node exactly once with bounded fan-out and logarithmic depth', () => {
     fc.assert(fc.property(nodesArbitrary, fc.nat(), fc.constantFrom(...Object.values(PushScope)), (nodes, pick, scope) => {
-      const origin = nodes[pick % nodes.length] as SpreadNode
+      const origin = nodes[pick % nodes.length] as NodeLocation
       const { reached, hops, maxTargets: widest } = runPush(nodes, { originId: origin.nodeId, scope })
       const expected = scope === PushScope.Global ? nodes : nodes.filter((node) => node.region === origin.region)
       assert.deepEqual([...reached.keys()].sort(), expected.map((node) => node.nodeId).sort())
@@ -59,7 +59,7 @@
   })
 
   it('reaches 4,600 nodes of 21 regions within seven hops', () => {
-    const nodes = Array.from({ length: 4600 }, (_, index): SpreadNode => ({ nodeId: `n${index}`, region: `r${index % 21}` }))
+    const nodes = Array.from({ length: 4600 }, (_, index): NodeLocation => ({ nodeId: `n${index}`, region: `r${index % 21}` }))
     const byId = new Map(nodes.map((node) => [node.nodeId, node]))
     const route = { originId: 'n17', scope: PushScope.Region }
     const regional = nodes.filter((node) => node.region === byId.get('n17')?.region)
@@ -107,9 +107,9 @@
   })
 
   it('of twelve nodes in three regions are the whole region and two more, every second', () => {
-    const nodes = Array.from({ length: 12 }, (_, index): SpreadNode => ({ nodeId: `entry-${index}`, region: `r${index % 3}` }))
-    const { ring, random } = chooseNeighbours(nodes, nodes[0] as SpreadNode, new SeededRandom(1))
-    assert.deepEqual([ring.length, random.length, computeRoundSpan(12)], [3, 2, 1000])
+    const nodes = Array.from({ length: 12 }, (_, index): NodeLocation => ({ nodeId: `entry-${index}`, region: `r${index % 3}` }))
+    const { ring, random } = chooseNeighbours(nodes, nodes[0] as NodeLocation, new SeededRandom(1))
+    assert.deepEqual([ring.length, random.length, computeRoundIntervalMs(12)], [3, 2, 1000])
   })
 })
 
@@ -126,7 +126,7 @@
   })
 })
 
-interface SimulatedNode extends SpreadNode {
+interface SimulatedNode extends NodeLocation {
   version: number
   isUp: boolean
 }
@@ -148,7 +148,7 @@
   private cutRegion: string | undefined
   private latestVersion = 1
 
-  constructor (nodes: readonly SpreadNode[], private readonly random: SeededRandom, private readonly lossProbability: number) {
+  constructor (nodes: readonly NodeLocation[], private readonly random: SeededRandom, private readonly lossProbability: number) {
     this.nodes = nodes.map((node) => ({ ...node, version: 1, isUp: true }))
   }
 
@@ -217,7 +217,7 @@
     return true
   }
 
-  private canReach (from: SpreadNode, to: SpreadNode): boolean {
+  private canReach (from: NodeLocation, to: NodeLocation): boolean {
     return from.region === to.region || (from.region !== this.cutRegion && to.region !== this.cutRegion)
   }
 }
--- a/packages/steering/test/common/limits/limitWorld.test.ts
+++ b/packages/steering/test/common/limits/limitSimulation.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { type Limits, LimitSimulation, MAX_REQUEST_MS, NODE_IDS } from './limitWorld.js'
+import { type Limits, LimitSimulation, MAX_REQUEST_MS, NODE_IDS } from './limitSimulation.js'
 
 const SEED = 20_261
 const RUNS = 150
--- a/packages/steering/test/common/limits/limitWorld.ts
+++ b/packages/steering/test/common/limits/limitSimulation.ts
@@ -5,8 +5,8 @@
  */
 import type { Instant } from '@umberspar/base/common/clock'
 import { buildDivisionView } from '../../../src/common/limits/divisionView.js'
-import { CLOCK_RATE_MARGIN, type TakenSlot } from '../../../src/common/limits/loans.js'
-import { PartKeeper } from '../../../src/common/limits/partKeeper.js'
+import { CLOCK_DRIFT_MARGIN_RATIO, type AcquiredSlot } from '../../../src/common/limits/loans.js'
+import { DivisionTracker } from '../../../src/common/limits/divisionTracker.js'
 import { PlaceLedger } from '../../../src/common/limits/placeLedger.js'
 import { Roster, type RosterPolicy } from '../../../src/common/limits/roster.js'
 import { buildPlaceKey, buildSlotKey, findPlaceKey } from '../../../src/common/limits/slotKey.js'
@@ -24,11 +24,11 @@
 const OTHER_REGION = 'penang'
 const PLACE_KEY = buildPlaceKey(SERVICE, DOMAIN)
 /** Scaled down; as in production, the grace period exceeds the maximum list age, the list's delay and the longest request together. */
-const POLICY: RosterPolicy = { holdSpanMs: 700, maxListAgeMs: 300 }
+const POLICY: RosterPolicy = { removalGraceMs: 700, maxListAgeMs: 300 }
 const MAX_LIST_DELAY_MS = 150
 export const MAX_REQUEST_MS = 200
 /** Difference between the rates of two successive nodes' clocks; the margin for loans is wider. */
-const CLOCK_RATE_SPREAD_RATIO = CLOCK_RATE_MARGIN / 4
+const CLOCK_RATE_SPREAD_RATIO = CLOCK_DRIFT_MARGIN_RATIO / 4
 
 /** The limits that a configuration version sets. */
 export interface Limits {
@@ -46,7 +46,7 @@
 interface RunningRequest {
   readonly node: SimulatedNode
   readonly incarnation: number
-  readonly slot: TakenSlot
+  readonly slot: AcquiredSlot
   readonly endsAt: Instant
 }
 
@@ -68,14 +68,14 @@
 /** The process of one entry VM. */
 export class SimulatedNode {
   roster = new Roster(() => POLICY)
-  division: PartKeeper
+  division: DivisionTracker
   ledger = new PlaceLedger()
   barrier: StartBarrier
   version = 0
   private viewKey = ''
 
   constructor (private readonly simulation: LimitSimulation, readonly nodeId: string, private readonly offset: number, private readonly rate: number, public incarnation: number) {
-    this.division = new PartKeeper(nodeId)
+    this.division = new DivisionTracker(nodeId)
     this.barrier = new StartBarrier(this.now())
   }
 
@@ -86,7 +86,7 @@
 
   /** Ids of the other entry VMs of all regions, including removed ones in their grace period. */
   private listPeers (): string[] {
-    const all = [...this.roster.list(REGION), ...this.roster.list(OTHER_REGION)]
+    const all = [...this.roster.listMembers(REGION), ...this.roster.listMembers(OTHER_REGION)]
     return all.map(({ nodeId }) => nodeId).filter((nodeId) => nodeId !== this.nodeId)
   }
 
@@ -94,7 +94,7 @@
     this.incarnation++
     this.viewKey = ''
     this.roster = new Roster(() => POLICY)
-    this.division = new PartKeeper(this.nodeId)
+    this.division = new DivisionTracker(this.nodeId)
     this.ledger = new PlaceLedger()
     this.barrier = new StartBarrier(this.now())
     this.version = 0
@@ -103,30 +103,30 @@
   update (): void {
     const now = this.now()
     this.roster.step(now)
-    this.barrier.step(this.roster.listVersion, this.listPeers(), now, POLICY.holdSpanMs)
+    this.barrier.step(this.roster.listVersion, this.listPeers(), now, POLICY.removalGraceMs)
     const version = this.simulation.versions[this.version]
     if (version !== undefined && this.barrier.isOpen) {
-      const input = { selfId: this.nodeId, region: REGION, configuration: version.configuration, configurationVersion: this.version, configurationDigest: '', listVersion: this.roster.listVersion, members: this.roster.list(REGION) }
+      const input = { selfId: this.nodeId, region: REGION, configuration: version.configuration, configurationVersion: this.version, configurationDigest: '', listVersion: this.roster.listVersion, members: this.roster.listMembers(REGION) }
       const key = JSON.stringify([this.version, input.listVersion, input.members])
       if (key !== this.viewKey) {
         this.viewKey = key
         const view = buildDivisionView(input)
-        this.simulation.versionByFingerprint.set(view.stamp, this.version)
+        this.simulation.versionByFingerprint.set(view.fingerprint, this.version)
         this.division.applyView(view)
       }
     }
-    const mayUseShares = this.barrier.isOpen && this.roster.mayUseParts(this.nodeId, now)
+    const mayUseShares = this.barrier.isOpen && this.roster.mayUseShares(this.nodeId, now)
     const keys = this.simulation.slotKeys
-    this.ledger.setParts(new Map(keys.map((key) => [key, mayUseShares ? this.division.getPart(key) : { slots: 0, connections: 0 }])), mayUseShares ? this.division.getPlacePart(PLACE_KEY) : 0)
-    this.ledger.removeEnded(now)
+    this.ledger.setShares(new Map(keys.map((key) => [key, mayUseShares ? this.division.getShare(key) : { slots: 0, connections: 0 }])), mayUseShares ? this.division.getPlaceShare(PLACE_KEY) : 0)
+    this.ledger.removeExpired(now)
   }
 
   findAcknowledgedFingerprint (): string | undefined {
     if (!this.barrier.isOpen) return undefined
-    const slots = this.ledger.listUse()
+    const slots = this.ledger.listUsage()
     const places = new Map<string, number>()
     for (const [key, count] of slots) places.set(findPlaceKey(key), (places.get(findPlaceKey(key)) ?? 0) + count)
-    return this.division.findAcknowledged({ slots, places })?.stamp
+    return this.division.findAcknowledgedView({ slots, places })?.fingerprint
   }
 }
 
@@ -186,17 +186,17 @@
   exchange (from: SimulatedNode, to: SimulatedNode, fate: number): void {
     const { nodeId, incarnation } = from
     this.send(to.nodeId, fate, () => {
-      to.division.observeProcess({ nodeId, incarnation })
+      to.division.recordProcess({ nodeId, incarnation })
       to.update()
-      const answer = { incarnation: to.incarnation, stamp: to.findAcknowledgedFingerprint(), holdsLoan: to.ledger.listBorrowed().some((loan) => loan.lenderId === nodeId), listVersion: to.roster.listVersion, gone: to.roster.listGone() }
+      const answer = { incarnation: to.incarnation, stamp: to.findAcknowledgedFingerprint(), holdsLoan: to.ledger.listBorrowed().some((loan) => loan.lenderId === nodeId), listVersion: to.roster.listVersion, gone: to.roster.listRemoved() }
       this.send(nodeId, Math.floor(fate / 4), () => {
         // The answer belongs to a call of the previous process if the sender has restarted.
         if (from.incarnation !== incarnation) return
         from.barrier.observe({ nodeId: to.nodeId, ...answer })
-        if (!from.barrier.isOpen) from.roster.holdGone(answer.gone, from.now())
+        if (!from.barrier.isOpen) from.roster.addRemoved(answer.gone, from.now())
         const peer = { nodeId: to.nodeId, incarnation: answer.incarnation }
-        from.division.observeProcess(peer)
-        if (answer.stamp !== undefined && from.division.observe(peer, answer.stamp)) this.counts.settledAnew++
+        from.division.recordProcess(peer)
+        if (answer.stamp !== undefined && from.division.recordAcknowledgement(peer, answer.stamp)) this.counts.settledAnew++
         from.update()
       })
     })
@@ -220,9 +220,9 @@
         // If the lender has restarted, its connection was closed and the answer never arrives.
         if (!isOpen || from.incarnation !== incarnation || to.incarnation !== lenderIncarnation || answer.slots === 0) return
         isOpen = false
-        const deadline = sentAt + Math.min(span, spanMs) * (1 - CLOCK_RATE_MARGIN)
+        const deadline = sentAt + Math.min(span, spanMs) * (1 - CLOCK_DRIFT_MARGIN_RATIO)
         const { slots, connections } = answer
-        from.ledger.addLoan({ loanId, lender: '', lenderId: to.nodeId, slotKey, slots, connections, deadline, inUse: 0, isClosing: false })
+        from.ledger.addLoan({ loanId, lenderAddress: '', lenderId: to.nodeId, slotKey, slots, connections, deadline, inUse: 0, isClosing: false })
         from.update()
       })
     })
@@ -240,7 +240,7 @@
     node.update()
     const durationMs = Math.min(spanMs, MAX_REQUEST_MS)
     for (const slotKey of this.slotKeys) {
-      const slot = node.ledger.take(slotKey, node.now() + durationMs)
+      const slot = node.ledger.acquire(slotKey, node.now() + durationMs)
       if (slot === undefined) continue
       this.running.push({ node, incarnation: node.incarnation, slot, endsAt: this.time + durationMs / (1 + 2 * CLOCK_RATE_SPREAD_RATIO) })
       this.counts.started++
--- a/packages/steering/test/common/membership/membership.test.ts
+++ b/packages/steering/test/common/membership/membership.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { EMPTY_BELIEVED_LIST, MISSING_VM_HOLD_MS, VERSION_RESET_DELAY_MS, SHRUNK_LIST_HOLD_MS, stepBelievedList } from '../../../src/common/membership/believedList.js'
+import { EMPTY_EFFECTIVE_VM_LIST, MISSING_VM_HOLD_MS, VERSION_RESET_DELAY_MS, SHRUNK_LIST_HOLD_MS, updateEffectiveVmList } from '../../../src/common/membership/effectiveVmList.js'
 import { type MemberReport, mergeReports } from '../../../src/common/membership/memberReport.js'
 import { MemberTable, MAX_RELAYED_REPORTS } from '../../../src/common/membership/memberTable.js'
 import { type VmEntry, VmRole, VmState } from '../../../src/common/ports/vmList.js'
@@ -54,7 +54,7 @@
       assert.equal(table.observe(createReport('a', 6), now), false)
       assert.equal(table.getState('a', now), NodeState.Live)
     }
-    assert.deepEqual(table.markSilent(SUSPECT_TIMEOUT_MS), ['a'])
+    assert.deepEqual(table.markSuspected(SUSPECT_TIMEOUT_MS), ['a'])
     assert.equal(table.getState('a', SUSPECT_TIMEOUT_MS), NodeState.Suspected)
     assert.equal(table.observe(createReport('a', 8), SUSPECT_TIMEOUT_MS + 1), true)
     assert.equal(table.getState('a', SUSPECT_TIMEOUT_MS + 1), NodeState.Live)
@@ -63,13 +63,13 @@
   it('relays a suspicion to a node that has no contact with the dead one', () => {
     const near = new MemberTable('near')
     const far = new MemberTable('far')
-    near.updateSize(400, ['a'])
-    far.updateSize(400, [])
+    near.updateFleetSize(400, ['a'])
+    far.updateFleetSize(400, [])
     near.observe(createReport('a', 3), 0)
     far.observe(createReport('a', 3), 0)
-    near.markSilent(30_000)
+    near.markSuspected(30_000)
     assert.equal(far.getState('a', 30_000), NodeState.Live)
-    for (const report of near.listRelayed(30_000)) far.observe(report, 30_000)
+    for (const report of near.listReportsToRelay(30_000)) far.observe(report, 30_000)
     assert.equal(far.getState('a', 30_000), NodeState.Suspected)
   })
 
@@ -80,10 +80,10 @@
     const other = new MemberTable('other')
     paused.observe(createReport('a', 5), 0)
     other.observe(createReport('a', 125), 60_000)
-    assert.deepEqual(paused.markSilent(60_000), ['a'])
-    for (const report of paused.listRelayed(60_000)) other.observe(report, 60_000)
+    assert.deepEqual(paused.markSuspected(60_000), ['a'])
+    for (const report of paused.listReportsToRelay(60_000)) other.observe(report, 60_000)
     assert.equal(other.getState('a', 60_000), NodeState.Live)
-    for (const report of other.listRelayed(60_000)) paused.observe(report, 60_001)
+    for (const report of other.listReportsToRelay(60_000)) paused.observe(report, 60_001)
     assert.equal(paused.getState('a', 60_001), NodeState.Live)
   })
 
@@ -99,10 +99,10 @@
     const count = 200
     for (let index = 0; index < count; index++) table.observe(createReport(`n${index}`, 1), index)
     table.observe(createReport('n3', 2, { state: NodeState.Leaving }), 1000)
-    assert.equal(table.listRelayed(1000)[0]?.nodeId, 'n3')
+    assert.equal(table.listReportsToRelay(1000)[0]?.nodeId, 'n3')
     const seen = new Set<string>()
     for (let round = 0; round < 2 * count / MAX_RELAYED_REPORTS + 1; round++) {
-      const relayed = table.listRelayed(1000)
+      const relayed = table.listReportsToRelay(1000)
       assert.ok(relayed.length <= MAX_RELAYED_REPORTS)
       relayed.forEach((report) => seen.add(report.nodeId))
     }
@@ -113,7 +113,7 @@
 describe('VM list', () => {
   const vms = Array.from({ length: 12 }, (_, index) => createVm(`entry-${index}`))
   const isRespondingNever = (): boolean => false
-  const full = stepBelievedList(EMPTY_BELIEVED_LIST, { version: 5, vms }, { now: 0, isHeard: isRespondingNever })
+  const full = updateEffectiveVmList(EMPTY_EFFECTIVE_VM_LIST, { version: 5, vms }, { now: 0, isResponding: isRespondingNever })
 
   it('an empty or shrunken list removes no VM before the long hold time ends, and a complete list cancels the removal', () => {
     // Failure: the list service returns an empty list for a minute. If it were accepted,
@@ -122,30 +122,30 @@
       const shrunken = { version: 6, vms: vms.slice(0, left) }
       let effective = full
       for (let now = 1000; now < SHRUNK_LIST_HOLD_MS; now += 1000) {
-        effective = stepBelievedList(effective, shrunken, { now, isHeard: isRespondingNever })
+        effective = updateEffectiveVmList(effective, shrunken, { now, isResponding: isRespondingNever })
         assert.equal(effective.vms.size, 12)
       }
-      const restored = stepBelievedList(effective, { version: 7, vms }, { now: SHRUNK_LIST_HOLD_MS, isHeard: isRespondingNever })
+      const restored = updateEffectiveVmList(effective, { version: 7, vms }, { now: SHRUNK_LIST_HOLD_MS, isResponding: isRespondingNever })
       assert.ok([...restored.vms.values()].every(({ dropAt }) => dropAt === undefined))
-      const dropped = stepBelievedList(effective, shrunken, { now: SHRUNK_LIST_HOLD_MS + 1000, isHeard: isRespondingNever })
+      const dropped = updateEffectiveVmList(effective, shrunken, { now: SHRUNK_LIST_HOLD_MS + 1000, isResponding: isRespondingNever })
       assert.equal(dropped.vms.size, left)
     }), PROPERTY_OPTIONS)
   })
 
   it('one missing VM is removed after the short hold time, but not while its daemon responds', () => {
     const listWithoutFirst = { version: 6, vms: vms.slice(1) }
-    const afterMissing = stepBelievedList(full, listWithoutFirst, { now: 1000, isHeard: isRespondingNever })
+    const afterMissing = updateEffectiveVmList(full, listWithoutFirst, { now: 1000, isResponding: isRespondingNever })
     assert.equal(afterMissing.vms.size, 12)
     const after = { now: 1000 + MISSING_VM_HOLD_MS }
-    assert.equal(stepBelievedList(afterMissing, listWithoutFirst, { ...after, isHeard: isRespondingNever }).vms.size, 11)
-    assert.equal(stepBelievedList(afterMissing, listWithoutFirst, { ...after, isHeard: (vmId) => vmId === 'entry-0' }).vms.size, 12)
+    assert.equal(updateEffectiveVmList(afterMissing, listWithoutFirst, { ...after, isResponding: isRespondingNever }).vms.size, 11)
+    assert.equal(updateEffectiveVmList(afterMissing, listWithoutFirst, { ...after, isResponding: (vmId) => vmId === 'entry-0' }).vms.size, 12)
   })
 
   it('an older version is ignored, unless it persists because the version counter was reset', () => {
     const olderList = { version: 2, vms: [...vms, createVm('entry-99')] }
-    const ignored = stepBelievedList(full, olderList, { now: 1000, isHeard: isRespondingNever })
+    const ignored = updateEffectiveVmList(full, olderList, { now: 1000, isResponding: isRespondingNever })
     assert.equal(ignored.vms.size, 12)
-    const effective = stepBelievedList(ignored, olderList, { now: 1000 + VERSION_RESET_DELAY_MS, isHeard: isRespondingNever })
+    const effective = updateEffectiveVmList(ignored, olderList, { now: 1000 + VERSION_RESET_DELAY_MS, isResponding: isRespondingNever })
     assert.deepEqual([effective.vms.size, effective.version], [13, 2])
   })
 })
--- a/packages/steering/test/common/plan/nodePlan.test.ts
+++ b/packages/steering/test/common/plan/nodePlan.test.ts
@@ -18,7 +18,7 @@
   const before = { ...createNodeService(weights, agreed, 0), inForceVersion: 1 }
   const now = PLAN_STALL_TIMEOUT_MS + 1
   const measured = { nodeId: NODE, measuredAt: now, inForce: { [SERVICE]: 1 }, demand: { [SERVICE]: { klang: 1 } } }
-  const measurements = addMeasurement(setMembers(NO_MEASUREMENTS, [{ nodeId: NODE, isHeard: true }]), measured)
+  const measurements = addMeasurement(setMembers(NO_MEASUREMENTS, [{ nodeId: NODE, isLive: true }]), measured)
   const after = stepNodeService(before, { service: SERVICE, configuration, failedUntil: new Map([[getPlaceKey(SERVICE, DOMAIN), failedUntil]]), utilization: {}, measurements }, now)
   return { before, after }
 }
--- a/packages/steering/test/common/plan/planCluster.ts
+++ b/packages/steering/test/common/plan/planCluster.ts
@@ -11,7 +11,7 @@
 import { updateFailures } from '../../../src/common/plan/placeFailures.js'
 import type { PlanDocument } from '../../../src/common/plan/planDocument.js'
 import { stepPlanner } from '../../../src/common/plan/planner.js'
-import { INITIAL_PLANNER, type PlannerEffect, PlannerEffectKind, type PlannerEvent, PlannerEventKind, type PlannerState } from '../../../src/common/plan/plannerState.js'
+import { INITIAL_PLANNER_STATE, type PlannerEffect, PlannerEffectKind, type PlannerEvent, PlannerEventKind, type PlannerState } from '../../../src/common/plan/plannerState.js'
 import { computeTargetPlan } from '../../../src/common/plan/servicePlan.js'
 import { computeShift } from '../../../src/common/plan/stepPlan.js'
 import { buildDrained, DOMAINS, EPSILON, REGIONS, SERVICE } from './planArbitraries.js'
@@ -57,8 +57,8 @@
   constructor (configuration: SteeringConfiguration, demand: Record<string, number>) {
     this.configuration = configuration
     this.demand = demand
-    const members = Array.from({ length: NODE_COUNT }, (_, index) => ({ nodeId: `n${index}`, isHeard: true }))
-    this.planners = Array.from({ length: PLANNER_COUNT }, () => INITIAL_PLANNER)
+    const members = Array.from({ length: NODE_COUNT }, (_, index) => ({ nodeId: `n${index}`, isLive: true }))
+    this.planners = Array.from({ length: PLANNER_COUNT }, () => INITIAL_PLANNER_STATE)
     const weights = computeTargetPlan(configuration, SERVICE, new Set()).weights
     this.nodes = members.map(({ nodeId }) => ({ nodeId, service: createNodeService(weights, undefined, 0) }))
     this.planners.forEach((_, index) => {
@@ -124,7 +124,7 @@
     const target = this.nodes[node]
     if (target === undefined) return
     const before = target.service
-    const members = this.nodes.map(({ nodeId }) => ({ nodeId, isHeard: true }))
+    const members = this.nodes.map(({ nodeId }) => ({ nodeId, isLive: true }))
     const measurements = this.nodes.reduce((state, _, index) => addMeasurement(state, this.measure(index)), setMembers(NO_MEASUREMENTS, members))
     const failedUntil = updateFailures(new Map(), this.listPlaces(), this.now)
     target.service = stepNodeService(before, { service: SERVICE, configuration: this.configuration, failedUntil, utilization: {}, measurements }, this.now)
@@ -192,7 +192,7 @@
   }
 
   private apply (planner: number, event: PlannerEvent): void {
-    const before = this.planners[planner] ?? INITIAL_PLANNER
+    const before = this.planners[planner] ?? INITIAL_PLANNER_STATE
     const { state, effects } = stepPlanner(before, event, this.now)
     this.planners[planner] = state
     for (const effect of effects) this.handleEffect(planner, before, effect)
--- a/packages/steering/test/common/plan/planner.test.ts
+++ b/packages/steering/test/common/plan/planner.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check'
 import type { SteeringConfiguration } from '../../../src/common/configuration/configurationSchema.js'
 import { StaleRule } from '../../../src/common/configuration/configurationSchema.js'
-import { isAtPlan, PLAN_STALL_TIMEOUT_MS } from '../../../src/common/plan/nodePlan.js'
+import { hasReachedAgreedPlan, PLAN_STALL_TIMEOUT_MS } from '../../../src/common/plan/nodePlan.js'
 import { computeDomainLoads, findPlaceCapacity } from '../../../src/common/plan/placeLoad.js'
 import { computeShift } from '../../../src/common/plan/stepPlan.js'
 import { demandArbitrary, DOMAINS, EPSILON, REGIONS, SEED, SERVICE, topologyArbitrary } from './planArbitraries.js'
@@ -96,7 +96,7 @@
       const version = cluster.newest?.version
       cluster.runWithoutFaults(CONVERGENCE_MS)
       assert.equal(cluster.newest?.version, version)
-      assert.ok(cluster.nodes.every(({ service }) => isAtPlan(service)))
+      assert.ok(cluster.nodes.every(({ service }) => hasReachedAgreedPlan(service)))
     }), { ...PROPERTY_OPTIONS, numRuns: 15 })
   })
 })
@@ -227,7 +227,7 @@
         }
       }
       assert.equal(getMaxWeight(cluster, failed), 0)
-      assert.ok(cluster.nodes.every(({ service }) => isAtPlan(service)))
+      assert.ok(cluster.nodes.every(({ service }) => hasReachedAgreedPlan(service)))
     }), { ...PROPERTY_OPTIONS, numRuns: 15 })
   })
 })
--- a/packages/steering/test/common/quarantine/quarantineFleet.ts
+++ b/packages/steering/test/common/quarantine/quarantineFleet.ts
@@ -90,6 +90,6 @@
 
   private putReport (table: SuspectTable, report: { digest: string, workerId: string, round: number }, now: Instant): void {
     table.putCrash(report, ReportState.Confirmed, now, now + RETENTION_MS)
-    if (table.isEvident(DIGEST, now)) table.putQuarantine(DIGEST, now + RETENTION_MS, now)
+    if (table.hasConfirmedEvidence(DIGEST, now)) table.putQuarantine(DIGEST, now + RETENTION_MS, now)
   }
 }
--- a/packages/steering/test/common/quarantine/suspectTable.test.ts
+++ b/packages/steering/test/common/quarantine/suspectTable.test.ts
@@ -19,10 +19,10 @@
     const table = new SuspectTable()
     putCrash(table, 'w-1', 1)
     putCrash(table, 'w-2', table.getNextRound('a', 0))
-    assert.ok(!table.isEvident('a', 0))
+    assert.ok(!table.hasConfirmedEvidence('a', 0))
     putCrash(table, 'w-3', 1)
-    assert.ok(table.isEvident('a', 0))
-    assert.ok(!table.isEvident('b', 0))
+    assert.ok(table.hasConfirmedEvidence('a', 0))
+    assert.ok(!table.hasConfirmedEvidence('b', 0))
   })
 
   // Guards against a quarantine of requests that were in flight at a rack when it lost power.
@@ -30,7 +30,7 @@
     fc.assert(fc.property(fc.integer({ min: 1, max: 200 }), (workers) => {
       const table = new SuspectTable()
       for (let index = 0; index < workers; index++) putCrash(table, `w-${index}`, 1)
-      return !table.isEvident('a', 0) && table.getBlockedUntil('a', 0) === undefined
+      return !table.hasConfirmedEvidence('a', 0) && table.getBlockedUntil('a', 0) === undefined
     }), { seed: SEED })
   })
 
@@ -45,9 +45,9 @@
     assert.equal(table.getNextRound('a', 0), 1)
     putCrash(table, 'w-3', 1)
     putCrash(table, 'w-4', 2)
-    assert.ok(!table.isEvident('a', 0))
+    assert.ok(!table.hasConfirmedEvidence('a', 0))
     putCrash(table, 'w-5', 3)
-    assert.ok(table.isEvident('a', 0))
+    assert.ok(table.hasConfirmedEvidence('a', 0))
   })
 
   it('blocks a request only as long as pending reports would suffice for a quarantine', () => {
@@ -56,7 +56,7 @@
     putCrash(table, 'w-2', 2)
     table.putCrash({ digest: 'a', workerId: 'w-3', round: 3 }, ReportState.Pending, 0, EXPIRES_AT)
     assert.equal(table.getBlockedUntil('a', 0), 0)
-    assert.ok(!table.isEvident('a', 0))
+    assert.ok(!table.hasConfirmedEvidence('a', 0))
     table.removeCrash('a', 'w-3')
     assert.equal(table.getBlockedUntil('a', 0), undefined)
   })
--- a/packages/steering/test/common/quota/quotaBudget.test.ts
+++ b/packages/steering/test/common/quota/quotaBucket.test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
 import { QuotaBucket } from '../../../src/common/quota/quotaBucket.js'
-import { computeBucketParameters, type QuotaBucketParameters } from '../../../src/common/quota/quotaBudget.js'
+import { computeBucketParameters, type QuotaBucketParameters } from '../../../src/common/quota/bucketParameters.js'
 
 const SEED = 20261203
 const TOLERANCE = { windowMs: 5_000, over: 0.1, slack: 20 }
@@ -12,7 +12,7 @@
     const quota = fc.record({ ratePerSecond: fc.double({ min: 0.01, max: 5_000, noNaN: true }), burst: fc.nat(10_000) })
     fc.assert(fc.property(quota, fc.integer({ min: 1, max: 8 }), ({ ratePerSecond, burst }, shareCount) => {
       const parameters = computeBucketParameters({ ratePerSecond, burst }, TOLERANCE, shareCount)
-      const maxRequests = parameters.refillPerMs * (TOLERANCE.windowMs + parameters.stockMs) + parameters.capacity + 2 * parameters.initialTokens
+      const maxRequests = parameters.refillPerMs * (TOLERANCE.windowMs + parameters.maxTokenAgeMs) + parameters.capacity + 2 * parameters.initialTokens
       const allowed = (ratePerSecond * 5 + burst) * 1.1 + 20
       assert.ok(maxRequests * shareCount <= allowed + 1e-6, `${maxRequests * shareCount} of ${allowed}`)
     }), { seed: SEED })
@@ -30,7 +30,7 @@
 })
 
 describe('QuotaBucket', () => {
-  const parameters: QuotaBucketParameters = { refillPerMs: 0.01, capacity: 5, initialTokens: 2, stockMs: 100 }
+  const parameters: QuotaBucketParameters = { refillPerMs: 0.01, capacity: 5, initialTokens: 2, maxTokenAgeMs: 100 }
 
   it('starts with the initial tokens of a new owner and fills up to its capacity', () => {
     const bucket = new QuotaBucket(parameters, 0)
--- a/packages/steering/test/common/rateLimits/rateAllowance.test.ts
+++ b/packages/steering/test/common/rateLimits/rateAllowance.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { divideByWeight } from '../../../src/common/rateLimits/apportion.js'
+import { divideByWeight } from '../../../src/common/rateLimits/divideByWeight.js'
 import { divideRateLimit, type SendingNode } from '../../../src/common/rateLimits/rateAllowance.js'
-import { SendMeter } from '../../../src/common/rateLimits/sendMeter.js'
+import { SlidingWindowCounter } from '../../../src/common/rateLimits/slidingWindowCounter.js'
 
 const SEED = 134
 const DOMAINS = ['north', 'south', 'east']
@@ -35,18 +35,18 @@
       const allowances = [...divideRateLimit({ perSecond: rate, workerId: 'w-1', tolerance }, allNodes, demandByDomain).values()]
       const { windowMs } = allowances[0]!
       const limit = rate * windowMs / 1_000
-      const totalRequests = allowances.reduce((total, allowance) => total + allowance.named, 0)
+      const totalRequests = allowances.reduce((total, allowance) => total + allowance.maxRequests, 0)
       assert.ok(totalRequests <= limit + 1e-6)
       assert.ok(totalRequests >= Math.floor(limit - 1e-6), 'no part of the limit is left unused')
-      assert.ok(allowances.reduce((total, allowance) => total + allowance.tolerated, 0) <= limit * tolerance.factor + tolerance.slack)
-      assert.ok(allowances.every((allowance) => allowance.tolerated >= allowance.named))
+      assert.ok(allowances.reduce((total, allowance) => total + allowance.maxToleratedRequests, 0) <= limit * tolerance.factor + tolerance.slack)
+      assert.ok(allowances.every((allowance) => allowance.maxToleratedRequests >= allowance.maxRequests))
     }), { seed: SEED })
   })
 
   // Guards against VMs without a part that never notice the end of a limit, or whose probe requests exceed it.
   it('lets VMs without a part send probe requests, within a tenth of the limit', () => {
     fc.assert(fc.property(perSecond, nodes, demand, (limit, allNodes, demandByDomain) => {
-      const nodesWithoutPart = [...divideRateLimit({ perSecond: limit, workerId: 'w-1', tolerance }, allNodes, demandByDomain).values()].filter(({ named }) => named === 0)
+      const nodesWithoutPart = [...divideRateLimit({ perSecond: limit, workerId: 'w-1', tolerance }, allNodes, demandByDomain).values()].filter(({ maxRequests }) => maxRequests === 0)
       const rate = nodesWithoutPart.reduce((sum, { probeIntervalMs }) => sum + 1_000 / probeIntervalMs, 0)
       assert.ok(rate <= Math.max(Math.max(1, limit) * 0.1, nodesWithoutPart.length / 600) + 1e-9)
       assert.ok(nodesWithoutPart.length === 0 || rate > 0)
@@ -56,13 +56,13 @@
   it('divides the part of a failure domain equally among its VMs', () => {
     const allNodes: SendingNode[] = [{ name: 'vm-1', domain: 'north' }, { name: 'vm-2', domain: 'south' }, { name: 'vm-3', domain: 'south' }]
     const parts = divideRateLimit({ perSecond: 10, workerId: 'w-1', tolerance: { factor: 1, slack: 0 } }, allNodes, new Map([['north', 0.5], ['south', 0.5]]))
-    assert.deepEqual([...parts.values()].map(({ named }) => named), [20, 10, 10])
+    assert.deepEqual([...parts.values()].map(({ maxRequests }) => maxRequests), [20, 10, 10])
   })
 
   it('gives the largest parts to the VMs that are expected to send the most requests', () => {
     const allNodes: SendingNode[] = Array.from({ length: 12 }, (_, index) => ({ name: `vm-${index}`, domain: DOMAINS[Math.floor(index / 4)]! }))
     const allowances = divideRateLimit({ perSecond: 10.1, workerId: 'w-1', tolerance }, allNodes, new Map([['north', 0.9], ['south', 0.05], ['east', 0.05]]))
-    const northRequests = allNodes.filter(({ domain }) => domain === 'north').reduce((sum, { name }) => sum + allowances.get(name)!.named, 0)
+    const northRequests = allNodes.filter(({ domain }) => domain === 'north').reduce((sum, { name }) => sum + allowances.get(name)!.maxRequests, 0)
     assert.equal(northRequests, 36)
   })
 })
@@ -70,13 +70,13 @@
 describe('counting sends in a sliding window', () => {
   it('allows exactly the maximum number of requests in any window', () => {
     fc.assert(fc.property(fc.integer({ min: 1, max: 5 }), fc.integer({ min: 1, max: 100 }), fc.array(fc.nat(50), { maxLength: 100 }), (maxRequests, spanMs, gaps) => {
-      const meter = new SendMeter()
+      const meter = new SlidingWindowCounter()
       const sent: number[] = []
       let now = 0
       for (const gap of gaps) {
         now += gap
         const inSpan = sent.filter((at) => at > now - spanMs).length
-        const freeAt = meter.getFreeAt(maxRequests, spanMs, now)
+        const freeAt = meter.getNextAllowedAt(maxRequests, spanMs, now)
         assert.equal(freeAt <= now, inSpan < maxRequests)
         if (freeAt > now) continue
         meter.record(now)
@@ -86,6 +86,6 @@
   })
 
   it('allows no request at a maximum of 0', () => {
-    assert.equal(new SendMeter().getFreeAt(0, 1_000, 5), Infinity)
+    assert.equal(new SlidingWindowCounter().getNextAllowedAt(0, 1_000, 5), Infinity)
   })
 })
--- a/packages/steering/test/common/request/request.test.ts
+++ b/packages/steering/test/common/request/request.test.ts
@@ -50,6 +50,6 @@
 describe('buildProblem', () => {
   it('contains status, step, peer and outcome', () => {
     const details = { detail: 'd', step: 'reserve-slot', peer: 'local', outcome: Outcome.NotRun, requestId: 'r' } as const
-    assert.deepEqual(buildProblem({ kind: ProblemKind.NoRoom, ...details }), { type: 'urn:umberspar:problem:no-room', title: 'No room for the request', status: 503, ...details })
+    assert.deepEqual(buildProblem({ kind: ProblemKind.NoCapacity, ...details }), { type: 'urn:umberspar:problem:no-room', title: 'No room for the request', status: 503, ...details })
   })
 })
--- a/packages/steering/test/common/request/requestFlow.test.ts
+++ b/packages/steering/test/common/request/requestFlow.test.ts
@@ -2,9 +2,9 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { AttemptPurpose, FlowEffectKind, FlowEventKind, FlowTimer, type FlowEffect, type FlowEvent, type FlowState, type FlowView } from '../../../src/common/request/flowTypes.js'
+import { AttemptPurpose, FlowEffectKind, FlowEventKind, FlowTimer, type FlowEffect, type FlowEvent, type FlowState, type FlowContext } from '../../../src/common/request/flowTypes.js'
 import { LatencyEstimate } from '../../../src/common/request/latencyEstimate.js'
-import { AnswerState, classifyExchange, SentState } from '../../../src/common/request/outcomeTable.js'
+import { ResponseState, classifyExchange, SentState } from '../../../src/common/request/outcomeTable.js'
 import { createFlow, MAX_ATTEMPTS, stepFlow } from '../../../src/common/request/requestFlow.js'
 import { computeRetryAfter } from '../../../src/common/request/retryAfter.js'
 import { MAX_RETRY_TOKENS, RetryBudget } from '../../../src/common/request/retryBudget.js'
@@ -64,7 +64,7 @@
         events.push(() => this.refuseSlot(attemptId))
       } else if (attempt.isSent && !attempt.hasEnded) {
         events.push(() => this.failAttempt(attemptId, detail))
-        events.push(() => { attempt.ran = attempt.hasEnded = true; return { kind: FlowEventKind.AnswerBegan, attemptId } })
+        events.push(() => { attempt.ran = attempt.hasEnded = true; return { kind: FlowEventKind.ResponseStarted, attemptId } })
       }
     })
     if (detail % 29 === 0) events.push(() => ({ kind: FlowEventKind.CallerLeft }))
@@ -93,8 +93,8 @@
     this.maxInFlight = Math.max(this.maxInFlight, this.attempts.filter(({ isSent, hasEnded }) => isSent && !hasEnded).length)
   }
 
-  private buildContext (jitter: number): FlowView {
-    return { now: this.now, jitter, hasToken: this.budget.hasToken, hedgeSpan: 20, isBodyWhole: this.isBodyReplayable || this.sentCount === 0, isBodyShared: this.isBodyReplayable }
+  private buildContext (jitter: number): FlowContext {
+    return { now: this.now, jitter, hasRetryToken: this.budget.hasToken, hedgeDelay: 20, isBodyReplayable: this.isBodyReplayable || this.sentCount === 0, isBodyBuffered: this.isBodyReplayable }
   }
 
   private runEffect (effect: FlowEffect): void {
@@ -102,23 +102,23 @@
       this.acquireEffects.push(effect)
       this.attempts[effect.attemptId] = { isWaiting: true, isSent: false, hasEnded: false, ran: false }
     }
-    if (effect.kind === FlowEffectKind.Send) {
+    if (effect.kind === FlowEffectKind.SendAttempt) {
       this.sentCount++
       this.attempts[effect.attemptId]!.isSent = true
     }
     if (effect.kind === FlowEffectKind.CancelAttempt) Object.assign(this.attempts[effect.attemptId]!, { hasEnded: true })
-    if (effect.kind === FlowEffectKind.RecordFirst) { this.firstAttempts++; this.budget.recordFirst() }
-    if (effect.kind === FlowEffectKind.SpendToken) {
+    if (effect.kind === FlowEffectKind.RecordFirstAttempt) { this.firstAttempts++; this.budget.recordFirstAttempt() }
+    if (effect.kind === FlowEffectKind.ConsumeRetryToken) {
       assert.ok(this.budget.hasToken, 'a retry token was consumed although none was available')
       this.consumedTokens++
-      this.budget.take()
+      this.budget.consumeToken()
     }
     if (effect.kind === FlowEffectKind.StartTimer) {
       assert.ok(effect.at < DEADLINE_MS, 'a timer is due after the deadline')
       this.timers.set(effect.timer, effect.at)
     }
     if (effect.kind === FlowEffectKind.StopTimer) this.timers.delete(effect.timer)
-    if (effect.kind === FlowEffectKind.Answer || effect.kind === FlowEffectKind.Refuse) this.endEffects.push(effect)
+    if (effect.kind === FlowEffectKind.ForwardResponse || effect.kind === FlowEffectKind.Refuse) this.endEffects.push(effect)
   }
 }
 
@@ -166,7 +166,7 @@
   it('retries on another worker of the domain, then in another domain, then refuses immediately', () => {
     let state = createFlow({ isIdempotent: true, maxAttempts: MAX_ATTEMPTS, deadline: DEADLINE_MS })
     const budget = new RetryBudget(0.1)
-    const context: FlowView = { now: 0, jitter: 0.5, hasToken: budget.hasToken, hedgeSpan: undefined, isBodyWhole: true, isBodyShared: true }
+    const context: FlowContext = { now: 0, jitter: 0.5, hasRetryToken: budget.hasToken, hedgeDelay: undefined, isBodyReplayable: true, isBodyBuffered: true }
     const applyEvent = (event: FlowEvent): readonly FlowEffect[] => {
       const step = stepFlow(state, event, context)
       state = step.state
@@ -180,10 +180,10 @@
     applyEvent({ kind: FlowEventKind.Started })
     failAttempt(0)
     const second = retry()
-    assert.deepEqual(second, { kind: FlowEffectKind.AcquireSlot, attemptId: 1, purpose: AttemptPurpose.Retry, wish: { preferred: 'klang-a', avoided: new Set(), excludedWorkers: new Set(['w0']) } } satisfies FlowEffect)
+    assert.deepEqual(second, { kind: FlowEffectKind.AcquireSlot, attemptId: 1, purpose: AttemptPurpose.Retry, preference: { preferredDomain: 'klang-a', avoidedDomains: new Set(), excludedWorkers: new Set(['w0']) } } satisfies FlowEffect)
     failAttempt(1)
     const third = retry()
-    assert.deepEqual(third, { kind: FlowEffectKind.AcquireSlot, attemptId: 2, purpose: AttemptPurpose.Retry, wish: { preferred: undefined, avoided: new Set(['klang-a']), excludedWorkers: new Set(['w0', 'w1']) } } satisfies FlowEffect)
+    assert.deepEqual(third, { kind: FlowEffectKind.AcquireSlot, attemptId: 2, purpose: AttemptPurpose.Retry, preference: { preferredDomain: undefined, avoidedDomains: new Set(['klang-a']), excludedWorkers: new Set(['w0', 'w1']) } } satisfies FlowEffect)
     assert.deepEqual(failAttempt(2).at(-1), { kind: FlowEffectKind.Refuse, outcome: Outcome.Unknown })
   })
 
@@ -195,21 +195,21 @@
     assert.equal(simulation.timers.get(FlowTimer.Hedge), 22)
     simulation.applyRandomEvent(0, 2)
     assert.equal(simulation.acquireEffects[1]?.purpose, AttemptPurpose.Hedge)
-    assert.deepEqual([...simulation.acquireEffects[1]?.wish.excludedWorkers ?? []], ['w2-0'])
+    assert.deepEqual([...simulation.acquireEffects[1]?.preference.excludedWorkers ?? []], ['w2-0'])
     simulation.applyRandomEvent(2, 2)
     assert.equal(simulation.maxInFlight, 2)
     simulation.applyRandomEvent(3, 2)
-    assert.deepEqual(simulation.endEffects, [{ kind: FlowEffectKind.Answer, attemptId: 1 }])
+    assert.deepEqual(simulation.endEffects, [{ kind: FlowEffectKind.ForwardResponse, attemptId: 1 }])
     assert.ok(simulation.attempts[0]?.hasEnded)
   })
 })
 
 describe('outcome table', () => {
   it('is not-run only if no byte was sent or the upstream refused explicitly', () => {
-    const notRun = Object.values(SentState).flatMap((sent) => Object.values(AnswerState)
+    const notRun = Object.values(SentState).flatMap((sent) => Object.values(ResponseState)
       .filter((received) => classifyExchange(sent, received) === Outcome.NotRun).map((received) => `${sent} ${received}`))
     assert.deepEqual(notRun, ['nothing nothing', 'nothing refusal', 'nothing late', 'nothing abandoned', 'may-have-left refusal'])
-    assert.equal(classifyExchange(SentState.MayHaveLeft, AnswerState.Whole), Outcome.Done)
+    assert.equal(classifyExchange(SentState.MaybeSent, ResponseState.Complete), Outcome.Done)
   })
 })
 
@@ -217,12 +217,12 @@
   it('estimates the 95th percentile, and drops old samples', () => {
     const latency = new LatencyEstimate()
     for (let sample = 1; sample < 100; sample++) latency.observe(sample)
-    assert.equal(latency.getHedgeSpan(), undefined)
+    assert.equal(latency.getHedgeDelay(), undefined)
     latency.observe(100)
-    const fast = latency.getHedgeSpan() ?? 0
+    const fast = latency.getHedgeDelay() ?? 0
     assert.ok(fast >= 94 && fast <= 97, String(fast))
     for (let sample = 0; sample < 2000; sample++) latency.observe(500)
-    assert.ok((latency.getMedianSpan() ?? 0) >= 490)
+    assert.ok((latency.getMedianLatency() ?? 0) >= 490)
   })
 
   it('grows with the number of waiting requests, is randomized and is bounded', () => {
--- a/packages/steering/test/common/workers/workerEvidence.test.ts
+++ b/packages/steering/test/common/workers/workerObservations.test.ts
@@ -65,7 +65,7 @@
       if (chosen === TESTED_WORKER) {
         failed++
         table.observeFailure(chosen, now)
-      } else table.observeAnswer(chosen, now)
+      } else table.observeResponse(chosen, now)
     }
     const probationRequests = 2
     assert.equal(failed, DEFAULT_WORKER_POLICY.failuresToEject + probationRequests)
@@ -76,7 +76,7 @@
   it('ejects a worker that fails every second request', () => {
     const table = buildTable()
     for (let request = 0; request < 40 && table.countEjected(1) === 0; request++) {
-      if (request % 2 === 0) table.observeAnswer(TESTED_WORKER, 0)
+      if (request % 2 === 0) table.observeResponse(TESTED_WORKER, 0)
       else table.observeFailure(TESTED_WORKER, 1)
       if (request < 8) assert.equal(table.countEjected(1), 0)
       if (request % 4 === 3) table.observeFailure(TESTED_WORKER, 1)
@@ -90,7 +90,7 @@
     const table = buildTable()
     const ratio = measureRequestRatio(table, 12, (now) => {
       table.observeProbeFailure(TESTED_WORKER, now)
-      if (now % 100 === 0) table.observeAnswer(TESTED_WORKER, now)
+      if (now % 100 === 0) table.observeResponse(TESTED_WORKER, now)
     })
     assert.ok(ratio > 0.5 / IDS.length, `got ${ratio} of the requests`)
     const unreachableTable = buildTable()
@@ -104,7 +104,7 @@
     assert.equal(chooseTestedWorker(), TESTED_WORKER)
     unreachableTable.reserve(TESTED_WORKER)
     assert.equal(chooseTestedWorker(), undefined, 'more than one request on probation')
-    unreachableTable.observeAnswer(TESTED_WORKER, probationAt)
+    unreachableTable.observeResponse(TESTED_WORKER, probationAt)
     assert.equal(chooseTestedWorker(), TESTED_WORKER)
   })
 
@@ -120,7 +120,7 @@
       assert.equal(table.get(TESTED_WORKER)?.isDraining, true)
       table.markDraining(TESTED_WORKER, false, 12_000)
       assert.equal(table.get(TESTED_WORKER)?.isDraining, false)
-      table.markVmLeaving(TESTED_WORKER, true, 12_000)
+      table.markVmRemoval(TESTED_WORKER, true, 12_000)
       table.markDraining(TESTED_WORKER, false, 14_000)
       assert.equal(table.get(TESTED_WORKER)?.isDraining, true)
     }), { seed: SEED, numRuns: 200 })
@@ -162,9 +162,9 @@
   it('gives few requests to a worker that responds slowly, and tries it again', () => {
     const table = buildTable()
     const observeTimes = (now: number): void => {
-      for (const id of IDS) if (id !== TESTED_WORKER) table.observeAnswerTime(id, 10, now)
+      for (const id of IDS) if (id !== TESTED_WORKER) table.observeResponseTime(id, 10, now)
     }
-    table.observeAnswerTime(TESTED_WORKER, 80, 1)
+    table.observeResponseTime(TESTED_WORKER, 80, 1)
     assert.ok(measureRequestRatio(table, 6, observeTimes) < 0.25 / IDS.length)
     const laterRatio = measureRequestRatio(table, 6, (now) => observeTimes(now + 60_000))
     assert.ok(laterRatio < 1.2 / IDS.length)
--- a/packages/steering/test/common/workers/workerTable.test.ts
+++ b/packages/steering/test/common/workers/workerTable.test.ts
@@ -46,7 +46,7 @@
       for (const { kind, id, spanMs } of events) {
         now += spanMs
         if (kind === 'fail') recordFailures(table, id, now)
-        else if (kind === 'answer') table.observeAnswer(id)
+        else if (kind === 'answer') table.observeResponse(id)
         else if (kind === 'drain' || kind === 'undrain') table.markDraining(id, kind === 'drain', now)
         else if (kind === 'start') table.markStarted(id, now)
         else table.updateWorkers(new Map(table.list().slice(1).map((worker) => [worker.workerId, worker])), now)
@@ -66,7 +66,7 @@
     assert.ok((countChoices(table, spanMs).get('w1') ?? 0) > 0)
     recordFailures(table, 'w1', spanMs)
     assert.equal(table.get('w1')?.ejectedUntil, 3 * spanMs)
-    table.observeAnswer('w1')
+    table.observeResponse('w1')
     assert.equal(table.countEjected(spanMs), 0)
   })
 })
@@ -115,6 +115,6 @@
     table.release('w2')
     table.markStarted('w2', 60_000)
     assert.equal(countChoices(table, 60_500).get('w2'), undefined)
-    assert.ok((countChoices(table, 60_000 + DEFAULT_WORKER_POLICY.warmUpSpanMs).get('w2') ?? 0) > 500)
+    assert.ok((countChoices(table, 60_000 + DEFAULT_WORKER_POLICY.warmUpMs).get('w2') ?? 0) > 500)
   })
 })
--- a/packages/testing/src/common/choice/choiceBench.ts
+++ b/packages/testing/src/common/choice/workerChoiceSimulation.ts
@@ -12,28 +12,28 @@
 import { EventQueue } from './eventQueue.js'
 
 /** How the first worker misbehaves. */
-export interface WorkerFlaw {
+export interface WorkerFault {
   /** Factor on its service times. */
   readonly slowFactor?: number
   /** Factor on its service times at a cold start; it decreases linearly to 1 within {@link WARM_UP_MS}. */
   readonly coldFactor?: number
   /** The utilization that it reports, whatever its load. */
-  readonly claims?: number
+  readonly reportedUtilization?: number
   /** Whether it immediately answers every request with an error. */
-  readonly fails?: boolean
+  readonly isFailing?: boolean
 }
 
 /** Chooses a worker for a request. */
-export type Choice = typeof chooseWorker
+export type WorkerChooser = typeof chooseWorker
 
 /** The result of one simulation. */
 export interface SimulationResult {
   /** Time from arrival to answer of each successful request, in milliseconds. */
   readonly latencies: readonly number[]
   /** Share of requests sent to the faulty worker, between 0 and 1. */
-  readonly flawedPart: number
+  readonly faultyWorkerShare: number
   /** Share of requests that failed, between 0 and 1. */
-  readonly failedPart: number
+  readonly failedShare: number
 }
 
 const ENTRY_COUNT = 2
@@ -48,7 +48,7 @@
 const FAULTY_WORKER_ID = 'w0'
 
 interface WorkerSimulation {
-  readonly fault: WorkerFlaw
+  readonly fault: WorkerFault
   inFlight: number
 }
 
@@ -61,7 +61,7 @@
 }
 
 /** Simulates one way to choose workers with one worker fault. */
-export class ChoiceBench {
+export class WorkerChoiceSimulation {
   private readonly events = new EventQueue()
   private readonly random: SeededRandom
   private readonly workersById = new Map<string, WorkerSimulation>()
@@ -77,12 +77,12 @@
    * @param fault how the first worker misbehaves
    * @param seed random seed of arrivals, service times and choices
    */
-  constructor (private readonly chooser: Choice, fault: WorkerFlaw, seed: number) {
+  constructor (private readonly chooser: WorkerChooser, fault: WorkerFault, seed: number) {
     this.random = new SeededRandom(seed)
     for (let index = 0; index < WORKER_COUNT; index++) this.workersById.set(`w${index}`, { fault: index === 0 ? fault : {}, inFlight: 0 })
     const knownWorkers = new Map([...this.workersById.keys()].map((id) => [id, { address: id, slots: SLOTS_PER_WORKER / ENTRY_COUNT }]))
     for (let entry = 0; entry < ENTRY_COUNT; entry++) {
-      const table = new WorkerTable({ ...DEFAULT_WORKER_POLICY, warmUpSpanMs: WARM_UP_MS })
+      const table = new WorkerTable({ ...DEFAULT_WORKER_POLICY, warmUpMs: WARM_UP_MS })
       table.updateWorkers(knownWorkers, 0)
       if (fault.coldFactor !== undefined) table.markStarted(FAULTY_WORKER_ID, 0)
       this.workerTableByEntry.push(table)
@@ -99,7 +99,7 @@
     this.scheduleLoadReports()
     this.events.runUntil(durationMs)
     const completedCount = this.latencies.length + this.failedCount
-    return { latencies: this.latencies, flawedPart: this.faultyWorkerRequestCount / completedCount, failedPart: this.failedCount / completedCount }
+    return { latencies: this.latencies, faultyWorkerShare: this.faultyWorkerRequestCount / completedCount, failedShare: this.failedCount / completedCount }
   }
 
   private scheduleArrival (entry: number): void {
@@ -134,16 +134,16 @@
   private finishRequest ({ entry, workerId, worker, arrivedAt, startedAt }: RunningRequest): void {
     const now = this.events.now()
     const table = this.workerTableByEntry[entry]!
-    const report = { utilization: worker.fault.claims ?? worker.inFlight / SLOTS_PER_WORKER, takenAt: now }
+    const report = { utilization: worker.fault.reportedUtilization ?? worker.inFlight / SLOTS_PER_WORKER, takenAt: now }
     worker.inFlight--
     this.latestReportByWorker.set(workerId, report)
     table.observeLoad(workerId, report)
-    if (worker.fault.fails === true) {
+    if (worker.fault.isFailing === true) {
       table.observeFailure(workerId, now)
       this.failedCount++
     } else {
-      table.observeAnswer(workerId, now)
-      table.observeAnswerTime(workerId, now - startedAt, now)
+      table.observeResponse(workerId, now)
+      table.observeResponseTime(workerId, now - startedAt, now)
       this.latencies.push(now - arrivedAt)
     }
     table.release(workerId)
@@ -159,7 +159,7 @@
     })
   }
 
-  private computeServiceMs ({ slowFactor = 1, coldFactor = 1, fails }: WorkerFlaw): number {
+  private computeServiceMs ({ slowFactor = 1, coldFactor = 1, isFailing: fails }: WorkerFault): number {
     if (fails === true) return FAILED_REQUEST_MS
     const standardNormal = Math.sqrt(-2 * Math.log(1 - this.random.next())) * Math.cos(2 * Math.PI * this.random.next())
     const warmUpProgress = Math.min(1, this.events.now() / WARM_UP_MS)
--- a/packages/testing/src/common/history/historyChecker.ts
+++ b/packages/testing/src/common/history/historyChecker.ts
@@ -5,7 +5,7 @@
 import type { Instant } from '@umberspar/base/common/clock'
 import { AnswerKind, ExecutionEnd, HistoryEventKind } from './historyEvent.js'
 import type {
-  AnsweredEvent, ArrivedEvent, ConnectionsCountedEvent, ExecutionEndedEvent, ExecutionStartedEvent, HistoryEvent, IHistory, RefusedWhileDrainingEvent
+  AnsweredEvent, ArrivedEvent, ConnectionsCountedEvent, ExecutionEndedEvent, ExecutionStartedEvent, HistoryEvent, IHistorySink, RefusedWhileDrainingEvent
 } from './historyEvent.js'
 import { PlannedIntervals } from './plannedIntervals.js'
 import { RequestTable } from './requestTable.js'
@@ -32,11 +32,11 @@
 /** Answers that are violations by themselves. */
 const VIOLATION_BY_ANSWER: Readonly<Partial<Record<AnswerKind, ViolationKind>>> = {
   [AnswerKind.Truncated]: ViolationKind.TruncatedAnswer,
-  [AnswerKind.Crossed]: ViolationKind.MismatchedAnswer
+  [AnswerKind.Mismatched]: ViolationKind.MismatchedAnswer
 }
 
 /** Receives events sorted by time and reports each violation as soon as it can be detected. */
-export class HistoryChecker implements IHistory {
+export class HistoryChecker implements IHistorySink {
   private readonly requestTable = new RequestTable()
   private readonly workerTable = new WorkerTable()
   private readonly drainIntervals = new PlannedIntervals()
@@ -52,13 +52,13 @@
     [HistoryEventKind.Arrived]: (event) => this.checkArrival(event),
     [HistoryEventKind.ExecutionStarted]: (event) => this.checkStart(event),
     [HistoryEventKind.ExecutionEnded]: (event) => this.checkEnd(event),
-    [HistoryEventKind.Offered]: (event) => this.checkDrain(event),
-    [HistoryEventKind.FaultPlanted]: (event) => this.requestTable.recordFault(event),
+    [HistoryEventKind.RefusedWhileDraining]: (event) => this.checkDrain(event),
+    [HistoryEventKind.FaultInjected]: (event) => this.requestTable.recordFault(event),
     [HistoryEventKind.LimitDeclared]: (event) => this.workerTable.setLimits(event),
     [HistoryEventKind.ConnectionsCounted]: (event) => this.checkConnections(event),
     [HistoryEventKind.DrainAnnounced]: ({ targets, at }) => this.drainIntervals.open(targets, at),
     [HistoryEventKind.SafeToStop]: ({ targets, at }) => this.safeToStopIntervals.open(targets, at),
-    [HistoryEventKind.StopBegan]: ({ targets, at }) => this.stopIntervals.open(targets, at),
+    [HistoryEventKind.StopStarted]: ({ targets, at }) => this.stopIntervals.open(targets, at),
     [HistoryEventKind.StopEnded]: ({ targets, at }) => this.stopIntervals.close(targets, at),
     [HistoryEventKind.DrainWithdrawn]: ({ targets, at }) => {
       this.drainIntervals.close(targets, at)
@@ -70,17 +70,17 @@
   constructor (private readonly onViolation: (violation: Violation) => void) {}
 
   /** @returns the number of requests and executions tracked, for reports on memory use */
-  countRemembered (): number {
+  countTracked (): number {
     return this.requestTable.size + this.executionByAtMostOnceKey.size
   }
 
   /** @returns the number of requests that took the last free slot of a worker; if 0, the run has not tested the slot limits */
-  countLastSlots (): number {
+  countSaturations (): number {
     return this.saturationCount
   }
 
   /** @returns the number of requests to workers without declared limits, whose slot use could not be checked */
-  countUnlimited (): number {
+  countUncheckedRequests (): number {
     return this.uncheckedRequestCount
   }
 
@@ -100,7 +100,7 @@
     const kind = VIOLATION_BY_ANSWER[answer]
     if (kind !== undefined) this.reportViolation(kind, at, requestId, detail ?? '')
     if (answer === AnswerKind.NotRun && request.firstWorkerId !== undefined) {
-      this.reportViolation(ViolationKind.RanThoughNotRun, at, requestId, `ran at ${request.firstWorkerId} before its caller was told "not-run": ${detail ?? ''}`)
+      this.reportViolation(ViolationKind.RanDespiteNotRun, at, requestId, `ran at ${request.firstWorkerId} before its caller was told "not-run": ${detail ?? ''}`)
     }
     this.checkInterruptionAtEntry(event, request)
   }
@@ -109,7 +109,7 @@
   private checkInterruptionAtEntry ({ answer, requestId, at, detail }: AnsweredEvent, { sent, injectedFault }: RequestRecord): void {
     if (answer !== AnswerKind.Failed && answer !== AnswerKind.Unknown) return
     if (injectedFault !== undefined || sent === undefined || !this.stopIntervals.hasOverlap(sent.entry, sent.at, at)) return
-    this.reportViolation(ViolationKind.CutAtPlannedStop, at, requestId, `${answer} during the planned stop of ${sent.entry}: ${detail ?? ''}`)
+    this.reportViolation(ViolationKind.InterruptedByPlannedStop, at, requestId, `${answer} during the planned stop of ${sent.entry}: ${detail ?? ''}`)
   }
 
   private checkArrival (event: ArrivedEvent | ExecutionStartedEvent): void {
@@ -131,7 +131,7 @@
     const request = this.requestTable.recordStart(event)
     this.checkAtMostOnce(event, request)
     const { requestId, workerId, at } = event
-    if (request.wasToldNotRun) this.reportViolation(ViolationKind.RanThoughNotRun, at, requestId, `ran at ${workerId} after its caller was told "not-run"`)
+    if (request.wasToldNotRun) this.reportViolation(ViolationKind.RanDespiteNotRun, at, requestId, `ran at ${workerId} after its caller was told "not-run"`)
   }
 
   /** Reports a repeated execution. An operation with an Idempotency-Key has two keys here, but is reported once. */
@@ -147,7 +147,7 @@
     const [firstExecution] = earlierExecutions
     if (firstExecution === undefined || earlierExecutions.some(({ isReported }) => isReported)) return
     for (const record of earlierExecutions) record.isReported = true
-    this.reportViolation(ViolationKind.DoubledExecution, at, keys[0] ?? '', `ran at ${firstExecution.workerId}, then again as ${requestId} at ${workerId}`)
+    this.reportViolation(ViolationKind.DuplicateExecution, at, keys[0] ?? '', `ran at ${firstExecution.workerId}, then again as ${requestId} at ${workerId}`)
   }
 
   private checkEnd (event: ExecutionEndedEvent): void {
@@ -155,7 +155,7 @@
     const { workerId, at, end } = event
     // A worker that is safe to stop has nothing in flight, so an execution that ends early during a stop was interrupted by it.
     if (held === undefined || end === ExecutionEnd.Answered || !this.stopIntervals.hasOverlap(workerId, held.heldSince, at)) return
-    this.reportViolation(ViolationKind.CutAtPlannedStop, at, held.requestId, `interrupted by the planned stop of ${workerId}`)
+    this.reportViolation(ViolationKind.InterruptedByPlannedStop, at, held.requestId, `interrupted by the planned stop of ${workerId}`)
   }
 
   /** Reports new work sent to a draining worker, including work that the worker refused. */
@@ -187,7 +187,7 @@
   [HistoryEventKind.LimitDeclared]: -1,
   [HistoryEventKind.DrainAnnounced]: -1,
   [HistoryEventKind.SafeToStop]: -1,
-  [HistoryEventKind.StopBegan]: -1,
+  [HistoryEventKind.StopStarted]: -1,
   [HistoryEventKind.DrainWithdrawn]: 1,
   [HistoryEventKind.StopEnded]: 1
 }
