--- a/packages/daemon/src/node/configuration/configurationWatcher.ts
+++ b/packages/daemon/src/node/configuration/configurationWatcher.ts
@@ -49,7 +49,7 @@
   readonly confirmedAgeMs: number | undefined
 }
 
-/** Updates the keeper from the store. */
+/** Updates the {@link ConfigurationManager} from the store. */
 export class ConfigurationWatcher implements IClosable {
   private readonly dependencies: ConfigurationWatcherDependencies
   private watch: IStoreWatch | undefined
--- a/packages/daemon/src/node/limits/limitManager.ts
+++ b/packages/daemon/src/node/limits/limitManager.ts
@@ -35,7 +35,7 @@
 const MAX_READINESS_DELAY_MS = 5000
 const NO_SHARE: SlotShare = { slots: 0, connections: 0 }
 
-/** Dependencies of the keeper. */
+/** Dependencies of the {@link LimitManager}. */
 export interface LimitManagerDependencies {
   readonly selfId: string
   readonly region: string
