--- a/packages/entry/src/node/quarantine/crashReporter.ts
+++ b/packages/entry/src/node/quarantine/crashReporter.ts
@@ -19,7 +19,7 @@
 /** Limits the size of the record, which is sent to every entry VM. A report takes about 80 bytes. */
 const MAX_REPORTS = 128
 
-/** Options of a {@link CrashReporter}. */
+/** Dependencies of a {@link CrashReporter}. */
 export interface CrashReporterDependencies {
   readonly clock: IClock
   readonly logger: ILogger
--- a/packages/entry/src/node/quarantine/recordSweeper.ts
+++ b/packages/entry/src/node/quarantine/recordSweeper.ts
@@ -12,7 +12,7 @@
 /** Allows for different wall clocks of VMs. An expired record does no harm until it is removed. */
 const CLOCK_TOLERANCE_MS = 30_000
 
-/** Options of a {@link RecordSweeper}. */
+/** Dependencies of a {@link RecordSweeper}. */
 export interface RecordSweeperDependencies {
   readonly clock: IClock
   readonly logger: ILogger
--- a/packages/entry/src/node/quarantine/requestQuarantine.ts
+++ b/packages/entry/src/node/quarantine/requestQuarantine.ts
@@ -27,7 +27,7 @@
 /** A worker that accepts no connection within this time counts as crashed. */
 const CHECK_TIMEOUT_MS = 500
 
-/** Options of a {@link RequestQuarantine}. */
+/** Dependencies of a {@link RequestQuarantine}. */
 export interface RequestQuarantineDependencies {
   readonly clock: IClock
   readonly logger: ILogger
--- a/packages/entry/src/node/quota/shareClaimer.ts
+++ b/packages/entry/src/node/quota/shareClaimer.ts
@@ -28,7 +28,7 @@
  */
 const MAX_FREE_MS = 2_000
 
-/** Options of a {@link ShareClaimer}. */
+/** Dependencies of a {@link ShareClaimer}. */
 export interface ShareClaimerDependencies {
   readonly clock: IClock
   readonly elapsed: ElapsedClock
--- a/packages/entry/src/node/replica/recordSynchronizer.ts
+++ b/packages/entry/src/node/replica/recordSynchronizer.ts
@@ -53,7 +53,7 @@
   hasConfiguration(): boolean
 }
 
-/** Options of a {@link RecordSynchronizer}. */
+/** Dependencies of a {@link RecordSynchronizer}. */
 export interface RecordSynchronizerDependencies {
   readonly clock: IClock
   readonly elapsed: ElapsedClock
