--- a/packages/daemon/src/node/places/admissionQueue.ts
+++ b/packages/daemon/src/node/places/admissionQueue.ts
@@ -91,8 +91,8 @@
     if (this.waiting >= (this.policy.maxQueue ?? this.maxQueue)) return this.createError(`the queue is full with ${this.waiting} waiting requests`, waitMs)
     const meanHoldMs = this.estimate.getMeanHoldMs(request.kind)
     const remainingWaitMs = getRemainingMs(request.deadline, this.clock.now()) - meanHoldMs
-    const { maxEstimateRatio: estimatePart, maxWaitMs: longestWaitMs } = this.policy
-    if (waitMs <= estimatePart * Math.min(longestWaitMs, remainingWaitMs)) return undefined
+    const { maxEstimateRatio, maxWaitMs } = this.policy
+    if (waitMs <= maxEstimateRatio * Math.min(maxWaitMs, remainingWaitMs)) return undefined
     return this.createError('no slot is expected to become free in time', waitMs)
   }
 
--- a/packages/daemon/src/node/places/workerReports.ts
+++ b/packages/daemon/src/node/places/workerReports.ts
@@ -194,7 +194,7 @@
   }
 
   private publishStateChange (address: string): void {
-    const peers = (this.workersByAddress.get(address) ?? []).flatMap(({ shareHolders: holders }) => holders)
+    const peers = (this.workersByAddress.get(address) ?? []).flatMap(({ shareHolders }) => shareHolders)
     const others = [...new Set(peers)].filter((peer) => peer !== this.selfId)
     if (others.length > 0) this.didChangeState.fire(others)
   }
--- a/packages/daemon/src/node/request/requestRun.ts
+++ b/packages/daemon/src/node/request/requestRun.ts
@@ -126,12 +126,12 @@
     }
   }
 
-  private async acquire ({ attemptId, purpose, preference: wish }: EffectOf<FlowEffectKind.AcquireSlot>): Promise<void> {
+  private async acquire ({ attemptId, purpose, preference }: EffectOf<FlowEffectKind.AcquireSlot>): Promise<void> {
     const { context } = this.input
     const attempt: Attempt = { controller: new AbortController(), grant: undefined, response: undefined, sentAt: 0 }
     this.attempts[attemptId] = attempt
     this.dependencies.metrics.count('request.attempts', 1, { service: context.service, purpose })
-    const acquired = await this.dependencies.slots.acquire({ context, wish, deadline: this.getWaitDeadline(purpose), signal: attempt.controller.signal })
+    const acquired = await this.dependencies.slots.acquire({ context, preference, deadline: this.getWaitDeadline(purpose), signal: attempt.controller.signal })
     if (!acquired.ok) {
       this.lastSlotFailure = acquired.val
       if (purpose !== AttemptPurpose.Hedge) this.lastError ??= acquired.val.error
--- a/packages/daemon/src/node/request/slotFinder.ts
+++ b/packages/daemon/src/node/request/slotFinder.ts
@@ -27,7 +27,7 @@
 /** What an attempt requires of a slot. */
 export interface SlotRequest {
   readonly context: RequestContext
-  readonly wish: PlacementPreference
+  readonly preference: PlacementPreference
   /** How long the attempt may wait for a slot. */
   readonly deadline: Deadline
   readonly signal: AbortSignal
@@ -46,12 +46,12 @@
    * @returns a slot, held until it is released; or why there is none, in which case nothing was sent
    */
   async acquire (request: SlotRequest): Promise<Result<AcquiredSlot, SlotFailure>> {
-    const { context, wish } = request
+    const { context, preference } = request
     const weights = this.plans.getWeights(context.service, context.clientRegion)
     const tried = new Set<string>()
     let lastFailure: SlotFailure | undefined
     for (;;) {
-      const failureDomain = this.chooseNextDomain(weights, wish, tried)
+      const failureDomain = this.chooseNextDomain(weights, preference, tried)
       if (failureDomain === undefined) return new Err(lastFailure ?? { error: createNoCapacityError(context), occupancy: undefined })
       tried.add(failureDomain)
       const pool = this.places.find(context.service, failureDomain)
@@ -65,15 +65,15 @@
   }
 
   private acquireFromPool (pool: PlacePool, request: SlotRequest): Promise<Result<SlotGrant, StepError>> {
-    const { context, wish, deadline, signal } = request
+    const { context, preference, deadline, signal } = request
     const { priority, kind } = context.route
-    return pool.acquire({ priority, kind, deadline, excluded: wish.excludedWorkers, signal })
+    return pool.acquire({ priority, kind, deadline, excluded: preference.excludedWorkers, signal })
   }
 
-  private chooseNextDomain (weights: Readonly<Record<string, number>>, wish: PlacementPreference, tried: ReadonlySet<string>): string | undefined {
-    const { preferredDomain: preferred, avoidedDomains: avoided } = wish
-    if (preferred !== undefined && !tried.has(preferred) && (weights[preferred] ?? 0) > 0) return preferred
-    const others = new Set([...tried, ...avoided])
+  private chooseNextDomain (weights: Readonly<Record<string, number>>, preference: PlacementPreference, tried: ReadonlySet<string>): string | undefined {
+    const { preferredDomain, avoidedDomains } = preference
+    if (preferredDomain !== undefined && !tried.has(preferredDomain) && (weights[preferredDomain] ?? 0) > 0) return preferredDomain
+    const others = new Set([...tried, ...avoidedDomains])
     return chooseFailureDomain(weights, others, this.random) ?? chooseFailureDomain(weights, tried, this.random)
   }
 }
--- a/packages/entry/src/node/entry.ts
+++ b/packages/entry/src/node/entry.ts
@@ -265,8 +265,8 @@
 
   private isReady (): boolean {
     if (this.isDraining || this.view.document === undefined || !this.accessController.canAdmitKeys) return false
-    for (const { registration: entry } of this.view.listTrackers()) {
-      if (entry.state === UpstreamState.Ready) return true
+    for (const { registration } of this.view.listTrackers()) {
+      if (registration.state === UpstreamState.Ready) return true
     }
     return false
   }
--- a/packages/entry/src/node/front/proxiedRequest.ts
+++ b/packages/entry/src/node/front/proxiedRequest.ts
@@ -75,11 +75,11 @@
     const { account } = this.context.accessController.decide(this.request.route, this.request.keyDigest)
     this.accountName = account?.name
     if (account === undefined) return this.startNextAttempt()
-    this.context.quotas.take(account, ({ outcome: end, token, waitMs }) => {
+    this.context.quotas.take(account, ({ outcome, token, waitMs }) => {
       this.quotaToken = token
       if (this.isEnded) this.returnQuota()
-      else if (end === QuotaOutcome.Granted) this.startNextAttempt()
-      else this.answerLocally(end === QuotaOutcome.Exhausted ? EndReason.QuotaExhausted : EndReason.QuotaUnknown, addRetryJitter(waitMs, this.context.random))
+      else if (outcome === QuotaOutcome.Granted) this.startNextAttempt()
+      else this.answerLocally(outcome === QuotaOutcome.Exhausted ? EndReason.QuotaExhausted : EndReason.QuotaUnknown, addRetryJitter(waitMs, this.context.random))
     })
   }
 
--- a/packages/entry/src/node/front/upstreamAttempt.ts
+++ b/packages/entry/src/node/front/upstreamAttempt.ts
@@ -156,9 +156,9 @@
 
   /** While the connection was opened, the worker may have started to drain, or its failure domain may have been evacuated. */
   private isStillEligible (): boolean {
-    const { registration: entry } = this.tracker
-    if (entry.state !== UpstreamState.Ready || this.context.view.evacuatedDomains.has(entry.domain)) return false
-    return this.context.view.getPool(this.service).has(entry.id)
+    const { registration } = this.tracker
+    if (registration.state !== UpstreamState.Ready || this.context.view.evacuatedDomains.has(registration.domain)) return false
+    return this.context.view.getPool(this.service).has(registration.id)
   }
 
   private send (connection: UpstreamConnection, now: Instant, accountName: string | undefined): void {
@@ -214,8 +214,8 @@
   }
 
   private classifyResponse (head: ResponseHead): AttemptOutcome {
-    const { headers, misdirectedRequestStatus: otherWorkerStatus } = this.context.protocol
-    if (head.status === otherWorkerStatus) return AttemptOutcome.AddressReused
+    const { headers, misdirectedRequestStatus } = this.context.protocol
+    if (head.status === misdirectedRequestStatus) return AttemptOutcome.AddressReused
     if (getHeader(head.rawHeaders, headers.notRun) !== undefined) return AttemptOutcome.RefusedByWorker
     const isSuccess = head.status >= MIN_SUCCESS_STATUS && head.status < MIN_REDIRECT_STATUS
     // Successful responses of workers carry a seal; without one the response comes from elsewhere.
--- a/packages/steering/src/common/entry/freshnessProof.ts
+++ b/packages/steering/src/common/entry/freshnessProof.ts
@@ -42,8 +42,8 @@
    * @param knownRevision revision up to which changes are now known
    */
   handleRevision (knownRevision: number): void {
-    for (const { requestedAt: askedAt, revision } of this.pendingReadings) {
-      if (revision <= knownRevision) this.latestProvenAt = Math.max(this.latestProvenAt, askedAt)
+    for (const { requestedAt, revision } of this.pendingReadings) {
+      if (revision <= knownRevision) this.latestProvenAt = Math.max(this.latestProvenAt, requestedAt)
     }
     this.pendingReadings = this.pendingReadings.filter(({ revision }) => revision > knownRevision)
   }
--- a/packages/steering/src/common/entry/workerPool.ts
+++ b/packages/steering/src/common/entry/workerPool.ts
@@ -217,8 +217,8 @@
   private getRateAvailableAt (tracker: UpstreamTracker, now: Instant): Instant {
     const { rateLimit, rateMeter, rateLimitAt } = tracker
     if (rateLimit === undefined) return now
-    const { windowMs, maxToleratedRequests: tolerated, probeIntervalMs } = this.getAllowance(tracker, rateLimit)
-    return tolerated === 0 ? Math.max(now, rateLimitAt + probeIntervalMs) : rateMeter.getNextAllowedAt(tolerated, windowMs, now)
+    const { windowMs, maxToleratedRequests, probeIntervalMs } = this.getAllowance(tracker, rateLimit)
+    return maxToleratedRequests === 0 ? Math.max(now, rateLimitAt + probeIntervalMs) : rateMeter.getNextAllowedAt(maxToleratedRequests, windowMs, now)
   }
 
   private getAllowance ({ registration }: UpstreamTracker, limit: number): RateAllowance {
--- a/packages/steering/test/common/gossip/gossip.test.ts
+++ b/packages/steering/test/common/gossip/gossip.test.ts
@@ -49,11 +49,11 @@
   it('reaches each node exactly once with bounded fan-out and logarithmic depth', () => {
     fc.assert(fc.property(nodesArbitrary, fc.nat(), fc.constantFrom(...Object.values(PushScope)), (nodes, pick, scope) => {
       const origin = nodes[pick % nodes.length] as NodeLocation
-      const { reached, hops, maxTargets: widest } = runPush(nodes, { originId: origin.nodeId, scope })
+      const { reached, hops, maxTargets } = runPush(nodes, { originId: origin.nodeId, scope })
       const expected = scope === PushScope.Global ? nodes : nodes.filter((node) => node.region === origin.region)
       assert.deepEqual([...reached.keys()].sort(), expected.map((node) => node.nodeId).sort())
       assert.ok([...reached.values()].every((count) => count === 1))
-      assert.ok(widest <= 2 * MAX_PUSH_FAN_OUT)
+      assert.ok(maxTargets <= 2 * MAX_PUSH_FAN_OUT)
       assert.ok(hops <= 7)
     }), RUNS)
   })
